--- a/crates/sassafrasproxy-cli/tests/gateway/mod.rs
+++ b/crates/sassafrasproxy-cli/tests/gateway/mod.rs
@@ -9,22 +9,22 @@
 use http::Request;
 use http_body_util::Full;
 use sassafrasproxy_platform_standin::{
-    CallerAnswer, DeclaredRoute, DeclaredTarget, GatewayProcess, ReplicaStandIn, StoreStandIn, ask,
-    ask_with,
+    CallerAnswer, DeclaredRoute, DeclaredTarget, GatewayProcess, ReplicaStandIn, StoreStandIn,
+    send_get, send_request,
 };
 use serde_json::Value;
 
 /// How long a test waits for a state before it counts as never reached.
-pub const PATIENCE: Duration = Duration::from_secs(30);
+pub const WAIT_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// The host of all routes.
 pub const HOST: &str = "shop.example";
 
 /// How many shards the gathered route has.
-pub const SHARDS: usize = 4;
+pub const SHARD_COUNT: usize = 4;
 
 /// A store, replicas and gateways.
-pub struct System {
+pub struct Cluster {
     pub store: StoreStandIn,
     /// Two for each shard, those of one shard side by side, then two of `desk`.
     pub replicas: Vec<ReplicaStandIn>,
@@ -32,12 +32,12 @@
     pub version: u64,
 }
 
-impl System {
+impl Cluster {
     /// Starts a number of gateways, in failure domains by turns, over some shards and one service.
     pub async fn start(gateways: usize) -> Self {
         let store = StoreStandIn::start();
         let mut replicas = Vec::new();
-        for shard in 0..SHARDS {
+        for shard in 0..SHARD_COUNT {
             for copy in ["a", "b"] {
                 let id = format!("s{shard}{copy}");
                 // Each shard's records: one great and one small, told apart by their last byte.
@@ -64,13 +64,13 @@
 
     /// Starts one more gateway.
     pub fn add_gateway(&mut self) -> usize {
-        self.add_gateway_at(self.store.address())
+        self.add_gateway_with_store(self.store.address())
     }
 
     /// Starts one more gateway that reaches the store at an address.
-    pub fn add_gateway_at(&mut self, store: SocketAddr) -> usize {
+    pub fn add_gateway_with_store(&mut self, store: SocketAddr) -> usize {
         let number = self.gateways.len();
-        let seeds: Vec<_> = self.gateways.iter().map(GatewayProcess::peers).collect();
+        let seeds: Vec<_> = self.gateways.iter().map(GatewayProcess::peers_address).collect();
         let name = format!("vm-{number}");
         let domain = ["west", "east"][number % 2];
         let gateway = GatewayProcess::start(binary(), &name, domain, store, &seeds).unwrap();
@@ -79,22 +79,23 @@
     }
 
     /// Starts one more gateway, in a failure domain and with so much of a core.
-    pub fn add_sized(&mut self, domain: &str, cpu_share: f64) -> usize {
-        self.add_changed(domain, &[("cpu_share", cpu_share.into())])
+    pub fn add_gateway_with_cpu(&mut self, domain: &str, cpu_share: f64) -> usize {
+        self.start_gateway(domain, &[("cpu_share", cpu_share.into())])
     }
 
     /// Starts one more gateway with some settings changed.
-    pub fn add_with(&mut self, changes: &[(&str, Value)]) -> usize {
+    pub fn add_gateway_with_settings(&mut self, changes: &[(&str, Value)]) -> usize {
         let domain = ["west", "east"][self.gateways.len() % 2];
-        self.add_changed(domain, changes)
+        self.start_gateway(domain, changes)
     }
 
-    fn add_changed(&mut self, domain: &str, changes: &[(&str, Value)]) -> usize {
+    fn start_gateway(&mut self, domain: &str, changes: &[(&str, Value)]) -> usize {
         let number = self.gateways.len();
-        let seeds: Vec<_> = self.gateways.iter().map(GatewayProcess::peers).collect();
+        let seeds: Vec<_> = self.gateways.iter().map(GatewayProcess::peers_address).collect();
         let name = format!("vm-{number}");
         let store = self.store.address();
-        let gateway = GatewayProcess::start_with(binary(), &name, domain, store, &seeds, changes);
+        let gateway =
+            GatewayProcess::start_with_settings(binary(), &name, domain, store, &seeds, changes);
         self.gateways.push(gateway.unwrap());
         number
     }
@@ -102,13 +103,13 @@
     /// Publishes a new version of the configuration.
     pub fn publish(&mut self, routes: &[DeclaredRoute]) {
         self.version += 3;
-        self.store.publish(self.version, routes);
+        self.store.publish_configuration(self.version, routes);
     }
 
     /// How many sends a gateway made for others.
-    pub async fn relayed(&self, at: usize) -> u64 {
+    pub async fn relayed_send_count(&self, at: usize) -> u64 {
         let request = Request::get("/metrics").header("host", "h").body(Full::default()).unwrap();
-        let answer = ask_with(self.gateways[at].metrics(), request).await.unwrap();
+        let answer = send_request(self.gateways[at].metrics_address(), request).await.unwrap();
         let text = String::from_utf8(answer.body.to_vec()).unwrap();
         let line = text.lines().find(|line| line.contains("sends_total{kind=\"relayed\"}"));
         line.map_or(0, |line| line.split(' ').next_back().unwrap().parse().unwrap())
@@ -121,7 +122,9 @@
 
     /// Asks a gateway once.
     pub async fn ask(&self, gateway: usize, path: &str) -> CallerAnswer {
-        ask(self.gateways[gateway].callers(), HOST, path, &fresh_id(), 2_000).await.unwrap()
+        send_get(self.gateways[gateway].callers_address(), HOST, path, &unique_attempt_id(), 2_000)
+            .await
+            .unwrap()
     }
 
     /// Asks a gateway until an answer meets a condition.
@@ -131,13 +134,13 @@
         path: &str,
         is_met: impl Fn(&CallerAnswer) -> bool,
     ) -> CallerAnswer {
-        let end = Instant::now() + PATIENCE;
+        let end = Instant::now() + WAIT_TIMEOUT;
         loop {
             let answer = self.ask(gateway, path).await;
             if is_met(&answer) {
                 return answer;
             }
-            let lines = self.gateways[gateway].lines();
+            let lines = self.gateways[gateway].log_lines();
             assert!(Instant::now() < end, "never met; last {answer:?}; log {lines:#?}");
             tokio::time::sleep(Duration::from_millis(20)).await;
         }
@@ -146,7 +149,7 @@
 
 /// The routes of the test system.
 pub fn routes() -> Vec<DeclaredRoute> {
-    let services = (0..SHARDS).map(|shard| format!("shard-{shard}")).collect();
+    let services = (0..SHARD_COUNT).map(|shard| format!("shard-{shard}")).collect();
     let gather = DeclaredTarget::Gather { services, top_k: 3, min_coverage: 0.75 };
     let desk = DeclaredTarget::Service("desk".into());
     vec![
@@ -183,7 +186,7 @@
 }
 
 /// An attempt id that no other request has.
-pub fn fresh_id() -> String {
+pub fn unique_attempt_id() -> String {
     use std::sync::atomic::{AtomicU64, Ordering};
     static NEXT: AtomicU64 = AtomicU64::new(1);
     format!("attempt-{}", NEXT.fetch_add(1, Ordering::Relaxed))
--- a/crates/sassafrasproxy-cli/tests/gateway_crashes.rs
+++ b/crates/sassafrasproxy-cli/tests/gateway_crashes.rs
@@ -6,21 +6,23 @@
 
 use std::time::Duration;
 
-use sassafrasproxy_platform_standin::Behavior;
+use sassafrasproxy_platform_standin::ReplicaMode;
 
-use crate::gateway::System;
+use crate::gateway::Cluster;
 
 /// One request takes down each replica that runs it, and its caller sends it again, to three
 /// nodes in turn. From its third death on, no node may send it to a replica; other requests for
 /// the same service are served as soon as the replicas are back.
 #[tokio::test(flavor = "multi_thread")]
-async fn sent_again() {
-    let system = System::start(3).await;
-    let runs = || ["da", "db"].iter().map(|id| system.replica(id).runs().len()).sum::<usize>();
+async fn crashing_request_is_quarantined() {
+    let system = Cluster::start(3).await;
+    let runs = || {
+        ["da", "db"].iter().map(|id| system.replica(id).started_attempt_ids().len()).sum::<usize>()
+    };
     let before = runs();
     for attempt in 0..15 {
         for id in ["da", "db"] {
-            system.replica(id).set(Behavior::Crashing);
+            system.replica(id).set_mode(ReplicaMode::Crashing);
         }
         let answer = system.ask(attempt % 3, "/desk/poison").await;
         assert_ne!(answer.status, 200);
@@ -29,7 +31,7 @@
     let deaths = runs() - before;
     assert!(deaths <= 4, "{deaths} runs of the request");
     for id in ["da", "db"] {
-        system.replica(id).set(Behavior::Answering(0));
+        system.replica(id).set_mode(ReplicaMode::Answering(0));
     }
     for at in 0..3 {
         system.ask_until(at, "/desk/7", |answer| answer.status == 200).await;
--- a/crates/sassafrasproxy-cli/tests/gateway_spread.rs
+++ b/crates/sassafrasproxy-cli/tests/gateway_fan_out.rs
@@ -7,18 +7,19 @@
 use nix::sys::signal::Signal;
 use sassafrasproxy_platform_standin::{CallerAnswer, DeclaredTarget, ReplicaStandIn};
 
-use crate::gateway::{System, record, route, routes};
+use crate::gateway::{Cluster, record, route, routes};
 
 /// How many shards the wide route has.
-const WIDE: usize = 40;
+const WIDE_SHARD_COUNT: usize = 40;
 
 /// Two gateways in one failure domain and one in another, and a route over many shards near the two.
-async fn start() -> System {
-    let mut system = System::start(0).await;
+async fn start_wide_route() -> Cluster {
+    let mut system = Cluster::start(0).await;
     for domain in ["west", "east", "west"] {
-        system.add_sized(domain, 0.1);
+        system.add_gateway_with_cpu(domain, 0.1);
     }
-    let services: Vec<String> = (0..WIDE).map(|shard| format!("wide-{shard}")).collect();
+    let services: Vec<String> =
+        (0..WIDE_SHARD_COUNT).map(|shard| format!("wide-{shard}")).collect();
     for (shard, service) in services.iter().enumerate() {
         let replica =
             ReplicaStandIn::start(&format!("w{shard}"), service, record(100 + shard as u8));
@@ -30,34 +31,40 @@
     all.push(route("r-wide", "/wide/", true, target));
     system.publish(&all);
     for at in 0..3 {
-        system.ask_until(at, "/wide/1", is_whole).await;
+        system.ask_until(at, "/wide/1", is_complete_answer).await;
     }
     system
 }
 
-fn is_whole(answer: &CallerAnswer) -> bool {
-    let greatest: Vec<u8> = (0..3).flat_map(|at| record(99 + WIDE as u8 - at)).collect();
-    answer.status == 200 && answer.part_stamps().len() == WIDE && answer.body[..] == greatest
+fn is_complete_answer(answer: &CallerAnswer) -> bool {
+    let greatest: Vec<u8> =
+        (0..3).flat_map(|at| record(99 + WIDE_SHARD_COUNT as u8 - at)).collect();
+    answer.status == 200
+        && answer.part_stamps().len() == WIDE_SHARD_COUNT
+        && answer.body[..] == greatest
 }
 
 /// Guards against parts that are lost or counted twice when other nodes send some of them.
 #[tokio::test(flavor = "multi_thread")]
-async fn near_nodes_help() {
-    let system = start().await;
-    let before = system.relayed(2).await;
+async fn same_domain_nodes_share_sends() {
+    let system = start_wide_route().await;
+    let before = system.relayed_send_count(2).await;
     for _ in 0..10 {
         let answer = system.ask(0, "/wide/1").await;
-        assert!(is_whole(&answer), "{answer:?}");
+        assert!(is_complete_answer(&answer), "{answer:?}");
     }
-    assert!(system.relayed(2).await > before, "the other node of the failure domain sent nothing");
+    assert!(
+        system.relayed_send_count(2).await > before,
+        "the other node of the failure domain sent nothing"
+    );
 }
 
 /// Guards against queries that wait for a helping node that is gone.
 #[tokio::test(flavor = "multi_thread")]
-async fn helper_dies() {
-    let system = start().await;
+async fn killed_relay_is_replaced() {
+    let system = start_wide_route().await;
     system.gateways[2].signal(Signal::SIGKILL).unwrap();
     for _ in 0..10 {
-        system.ask_until(0, "/wide/1", is_whole).await;
+        system.ask_until(0, "/wide/1", is_complete_answer).await;
     }
 }
--- a/crates/sassafrasproxy-cli/tests/gateway_settings.rs
+++ b/crates/sassafrasproxy-cli/tests/gateway_settings.rs
@@ -7,20 +7,20 @@
 use std::time::{Duration, Instant};
 
 use nix::sys::signal::Signal;
-use sassafrasproxy_platform_standin::ask_directory;
+use sassafrasproxy_platform_standin::query_directory;
 use serde_json::json;
 
-use crate::gateway::{PATIENCE, System};
+use crate::gateway::{Cluster, WAIT_TIMEOUT};
 
 /// How long callers are told to keep an address list, in seconds.
-async fn keep_s(system: &System) -> u64 {
-    ask_directory(system.gateways[0].directory(), "west").await.unwrap().keep_s
+async fn address_keep_s(system: &Cluster) -> u64 {
+    query_directory(system.gateways[0].directory_address(), "west").await.unwrap().ttl_s
 }
 
-async fn wait_for_keep(system: &System, expected_s: u64) {
-    let end = Instant::now() + PATIENCE;
-    while keep_s(system).await != expected_s {
-        assert!(Instant::now() < end, "never in force: {:#?}", system.gateways[0].lines());
+async fn wait_for_address_keep(system: &Cluster, expected_s: u64) {
+    let end = Instant::now() + WAIT_TIMEOUT;
+    while address_keep_s(system).await != expected_s {
+        assert!(Instant::now() < end, "never in force: {:#?}", system.gateways[0].log_lines());
         tokio::time::sleep(Duration::from_millis(20)).await;
     }
 }
@@ -28,32 +28,32 @@
 /// An operator changes the settings and sends SIGHUP while callers wait for answers. A process
 /// that does not handle the signal is ended by it, and every open request is lost with it.
 #[tokio::test(flavor = "multi_thread")]
-async fn hangup() {
-    let mut system = System::start(1).await;
-    assert_eq!(keep_s(&system).await, 1);
+async fn sighup_reloads_settings() {
+    let mut system = Cluster::start(1).await;
+    assert_eq!(address_keep_s(&system).await, 1);
     system.gateways[0].change_setting("address_keep_ms", json!(3_000)).unwrap();
     system.gateways[0].signal(Signal::SIGHUP).unwrap();
-    wait_for_keep(&system, 3).await;
+    wait_for_address_keep(&system, 3).await;
     assert!(system.gateways[0].is_running().unwrap());
     assert_eq!(system.ask(0, "/desk/1").await.status, 200);
 }
 
 /// The platform rewrites the settings without a signal.
 #[tokio::test(flavor = "multi_thread")]
-async fn no_signal() {
-    let mut system = System::start(1).await;
+async fn changed_file_reloads_settings() {
+    let mut system = Cluster::start(1).await;
     system.gateways[0].change_setting("address_keep_ms", json!(4_000)).unwrap();
-    wait_for_keep(&system, 4).await;
+    wait_for_address_keep(&system, 4).await;
 }
 
 /// A file that cannot be used leaves the settings in force, and the log says what to mend.
 #[tokio::test(flavor = "multi_thread")]
-async fn bad_file() {
-    let mut system = System::start(1).await;
-    system.gateways[0].spoil_settings("name: [").unwrap();
+async fn bad_file_keeps_settings() {
+    let mut system = Cluster::start(1).await;
+    system.gateways[0].corrupt_settings("name: [").unwrap();
     system.gateways[0].signal(Signal::SIGHUP).unwrap();
-    let line = system.gateways[0].wait_for_line("the settings in force stay").unwrap();
+    let line = system.gateways[0].wait_for_log_line("the settings in force stay").unwrap();
     assert!(line["problem"].as_str().unwrap().contains("gateway.yaml:1"), "{line}");
     assert!(system.gateways[0].is_running().unwrap());
-    assert_eq!(keep_s(&system).await, 1);
+    assert_eq!(address_keep_s(&system).await, 1);
 }
--- a/crates/sassafrasproxy-cli/tests/request_story.rs
+++ b/crates/sassafrasproxy-cli/tests/request_story.rs
@@ -6,25 +6,26 @@
 
 use std::process::Command;
 
-use sassafrasproxy_platform_standin::{Behavior, ask, ask_with};
+use sassafrasproxy_platform_standin::{ReplicaMode, send_get, send_request};
 
-use crate::gateway::{HOST, System, binary};
+use crate::gateway::{Cluster, HOST, binary};
 
 /// A caller complains about an answer that left a shard out. The engineer has its id and the
 /// logs of all processes: they name the shard, the replica and why.
 #[tokio::test(flavor = "multi_thread")]
 async fn left_out() {
-    let system = System::start(2).await;
+    let system = Cluster::start(2).await;
     for id in ["s2a", "s2b"] {
-        system.replica(id).set(Behavior::Failing);
+        system.replica(id).set_mode(ReplicaMode::Failing);
     }
-    let answer = ask(system.gateways[1].callers(), HOST, "/all/7", "complaint", 2_000).await;
-    assert_eq!(answer.unwrap().missing_parts(), Some(1));
-    system.gateways[1].wait_for_line("shards are left out").unwrap();
+    let answer =
+        send_get(system.gateways[1].callers_address(), HOST, "/all/7", "complaint", 2_000).await;
+    assert_eq!(answer.unwrap().missing_shard_count(), Some(1));
+    system.gateways[1].wait_for_log_line("shards are left out").unwrap();
     let dir = tempfile::TempDir::new().unwrap();
     let files = system.gateways.iter().enumerate().map(|(at, gateway)| {
         let file = dir.path().join(format!("vm-{at}.log"));
-        let lines: Vec<String> = gateway.lines().iter().map(ToString::to_string).collect();
+        let lines: Vec<String> = gateway.log_lines().iter().map(ToString::to_string).collect();
         std::fs::write(&file, lines.join("\n")).unwrap();
         file
     });
@@ -46,12 +47,12 @@
 /// alone does not lead to it.
 #[tokio::test(flavor = "multi_thread")]
 async fn refused() {
-    let system = System::start(1).await;
+    let system = Cluster::start(1).await;
     for id in ["da", "db"] {
-        system.store.unlist(id);
+        system.store.deregister_replica(id);
     }
     system.ask_until(0, "/desk/7", |answer| answer.status == 503).await;
-    let line = system.gateways[0].wait_for_line("no replica is left to ask").unwrap();
+    let line = system.gateways[0].wait_for_log_line("no replica is left to ask").unwrap();
     assert_eq!((&line["service"], &line["end"]), (&"desk".into(), &"NoReplica".into()), "{line}");
     assert_eq!((&line["last"], &line["may_have_run"]), (&"".into(), &false.into()), "{line}");
 }
@@ -59,12 +60,12 @@
 /// The metrics say how requests ended, and why.
 #[tokio::test(flavor = "multi_thread")]
 async fn metrics() {
-    let system = System::start(1).await;
+    let system = Cluster::start(1).await;
     system.ask(0, "/all/7").await;
     system.ask(0, "/nowhere/").await;
     let request = http::Request::get("/metrics").header("host", "h");
     let request = request.body(http_body_util::Full::default()).unwrap();
-    let answer = ask_with(system.gateways[0].metrics(), request).await.unwrap();
+    let answer = send_request(system.gateways[0].metrics_address(), request).await.unwrap();
     let text = String::from_utf8(answer.body.to_vec()).unwrap();
     for expected in [
         "sassafrasproxy_answers_total{route=\"r-all\",status=\"200\"} 1",
--- a/crates/sassafrasproxy-core/examples/rollouts.rs
+++ b/crates/sassafrasproxy-core/examples/rollouts.rs
@@ -9,7 +9,9 @@
 use indexmap::IndexMap;
 use sassafrasproxy_core::{RolloutPhase, RolloutPolicy};
 
-use crate::rollout_model::{Manner, Played, drawn, manner_name, play};
+use crate::rollout_model::{
+    RolloutResult, VersionBehavior, behavior_name, random_scenario, simulate,
+};
 
 /// One row of the table.
 #[derive(Default)]
@@ -18,14 +20,14 @@
     rolled_back: u64,
     completed: u64,
     in_time: u64,
-    over: u64,
-    late: u64,
-    wrong: u64,
-    unordered: u64,
-    bad: u64,
+    over_bound: u64,
+    late_runs: u64,
+    wrong_sends: u64,
+    sends_before_order: u64,
+    bad_answers: u64,
     /// The greatest exposure in parts of the bound.
-    exposure: f64,
-    end_part: f64,
+    max_exposure_ratio: f64,
+    end_fraction_sum: f64,
 }
 
 fn main() {
@@ -43,10 +45,10 @@
         .get_matches();
     let part = |name: &str| *matches.get_one::<f64>(name).expect("it has a default");
     let policy = RolloutPolicy {
-        trial_part: part("trial-part"),
-        spread_part: part("spread-part"),
-        permit_part: part("permit-part"),
-        share_part: part("share-part"),
+        trial_fraction: part("trial-part"),
+        permit_spread_factor: part("spread-part"),
+        permit_fraction: part("permit-part"),
+        canary_share_fraction: part("share-part"),
         ..RolloutPolicy::new(0.1, 50.0)
     };
     let seeds = *matches.get_one::<u64>("seeds").expect("it has a default");
@@ -54,16 +56,16 @@
     let mut rows: IndexMap<&str, Row> = IndexMap::new();
     for seed in first..first + seeds {
         for is_bad in [false, true] {
-            let scene = drawn(seed, is_bad, policy);
-            let played = play(scene.clone());
-            let name = manner_name(scene.manner);
-            let is_odd = match scene.manner {
-                Manner::Good => {
-                    played.end != Some(RolloutPhase::Completed) || played.end_part > 0.8
+            let scene = random_scenario(seed, is_bad, policy);
+            let played = simulate(scene.clone());
+            let name = behavior_name(scene.behavior);
+            let is_odd = match scene.behavior {
+                VersionBehavior::Good => {
+                    played.end != Some(RolloutPhase::Completed) || played.end_fraction > 0.8
                 }
                 _ => played.end != Some(RolloutPhase::RolledBack),
             };
-            let is_over = played.exposed as f64 > played.bound(&policy);
+            let is_over = played.exposed_requests as f64 > played.max_exposure(&policy);
             let is_odd = is_odd || (is_over && is_bad) || played.late_sends > 0;
             if matches.get_flag("verbose") && (is_odd || played.wrong_sends > 0) {
                 println!("{scene:?}\n  {played:?}");
@@ -94,31 +96,32 @@
             row.rolled_back,
             row.completed,
             row.in_time,
-            row.over,
-            row.late,
-            row.wrong,
-            row.unordered,
-            row.bad as f64 / count,
-            row.exposure,
-            row.end_part / count
+            row.over_bound,
+            row.late_runs,
+            row.wrong_sends,
+            row.sends_before_order,
+            row.bad_answers as f64 / count,
+            row.max_exposure_ratio,
+            row.end_fraction_sum / count
         );
     }
 }
 
 impl Row {
-    fn add(&mut self, played: &Played, policy: &RolloutPolicy) {
-        let bound = played.bound(policy);
+    fn add(&mut self, played: &RolloutResult, policy: &RolloutPolicy) {
+        let bound = played.max_exposure(policy);
         self.count += 1;
         self.rolled_back += u64::from(played.end == Some(RolloutPhase::RolledBack));
         let is_completed = played.end == Some(RolloutPhase::Completed);
         self.completed += u64::from(is_completed);
-        self.in_time += u64::from(is_completed && played.end_part <= 0.8);
-        self.over += u64::from(played.exposed as f64 > bound);
-        self.late += u64::from(played.late_sends > 0);
-        self.wrong += played.wrong_sends;
-        self.unordered += played.unordered;
-        self.bad += played.bad;
-        self.exposure = self.exposure.max(played.exposed as f64 / bound);
-        self.end_part += played.end_part;
+        self.in_time += u64::from(is_completed && played.end_fraction <= 0.8);
+        self.over_bound += u64::from(played.exposed_requests as f64 > bound);
+        self.late_runs += u64::from(played.late_sends > 0);
+        self.wrong_sends += played.wrong_sends;
+        self.sends_before_order += played.sends_before_order;
+        self.bad_answers += played.bad_answers;
+        self.max_exposure_ratio =
+            self.max_exposure_ratio.max(played.exposed_requests as f64 / bound);
+        self.end_fraction_sum += played.end_fraction;
     }
 }
--- a/crates/sassafrasproxy-core/src/claims/log.rs
+++ b/crates/sassafrasproxy-core/src/claims/log.rs
@@ -10,64 +10,64 @@
 
 /// The log of one epoch.
 #[derive(Debug, Default)]
-pub struct Log {
+pub struct ClaimLog {
     prefix: EcoString,
     /// The number of the next segment.
-    next: u64,
-    pub holders: IndexMap<EcoString, Holder>,
+    next_segment: u64,
+    pub holders: IndexMap<EcoString, KeyHolder>,
     pub is_loaded: bool,
     pub is_sealed: bool,
 }
 
 /// Who holds a key.
 #[derive(Debug, Clone)]
-pub struct Holder {
+pub struct KeyHolder {
     pub token: EcoString,
     pub fingerprint: u64,
     pub ending: Option<Ending>,
 }
 
-impl Log {
+impl ClaimLog {
     pub fn new(bucket: u32, epoch: u64) -> Self {
         Self { prefix: log_prefix(bucket, epoch), ..Self::default() }
     }
 
-    pub fn list(&self) -> StoreCall {
+    pub fn list_call(&self) -> StoreCall {
         StoreCall::List { prefix: self.prefix.clone() }
     }
 
     /// The key of the next segment; padded, so that keys sort as numbers do.
     pub fn next_key(&self) -> EcoString {
-        eco_format!("{}{:08}", self.prefix, self.next)
+        eco_format!("{}{:08}", self.prefix, self.next_segment)
     }
 
     /// Applies the next segment: the first claim of a key holds it until it is known not to have
     /// run; a claim after the seal holds nothing.
-    pub fn apply(&mut self, text: &str) {
-        self.next += 1;
-        let Some(segment) = read_segment(text) else { return };
+    pub fn apply_segment(&mut self, text: &str) {
+        self.next_segment += 1;
+        let Some(segment) = parse_segment(text) else { return };
         for record in segment.records {
             match record {
                 ClaimRecord::Sealed => self.is_sealed = true,
-                ClaimRecord::Claim(request) if !self.is_sealed => self.hold(request),
+                ClaimRecord::Claim(request) if !self.is_sealed => self.apply_claim(request),
                 ClaimRecord::Claim(_) => {}
-                ClaimRecord::Ending(request) => self.end(request),
+                ClaimRecord::Ending(request) => self.apply_ending(request),
             }
         }
     }
 
-    fn hold(&mut self, request: ClaimRequest) {
+    fn apply_claim(&mut self, request: ClaimRequest) {
         let is_free = self
             .holders
             .get(&request.key)
             .is_none_or(|holder| holder.ending == Some(Ending::NotRun));
         if is_free {
             let ClaimRequest { key, token, fingerprint } = request;
-            self.holders.insert(key, Holder { token, fingerprint, ending: None });
+            self.holders.insert(key, KeyHolder { token, fingerprint, ending: None });
         }
     }
 
-    fn end(&mut self, request: RecordRequest) {
+    fn apply_ending(&mut self, request: RecordRequest) {
         if let Some(holder) = self.holders.get_mut(&request.key)
             && holder.token == request.token
         {
@@ -76,9 +76,9 @@
     }
 }
 
-impl Holder {
+impl KeyHolder {
     /// What a claim with this token is told.
-    pub fn answer(&self, token: &str) -> ClaimAnswer {
+    pub fn answer_claim(&self, token: &str) -> ClaimAnswer {
         if self.token == token && self.ending.is_none() {
             return ClaimAnswer::Granted;
         }
@@ -91,10 +91,10 @@
     eco_format!("claims/{epoch}/{bucket:02}/")
 }
 
-pub fn read_segment(text: &str) -> Option<ClaimSegment> {
+pub fn parse_segment(text: &str) -> Option<ClaimSegment> {
     serde_json::from_str(text).ok()
 }
 
-pub fn to_json(segment: &ClaimSegment) -> EcoString {
+pub fn segment_to_json(segment: &ClaimSegment) -> EcoString {
     serde_json::to_string(segment).expect("claim types always serialize").into()
 }
--- a/crates/sassafrasproxy-core/src/claims/message.rs
+++ b/crates/sassafrasproxy-core/src/claims/message.rs
@@ -9,30 +9,30 @@
     /// How long an epoch lasts; a key is kept for one to two of them.
     pub epoch_ms: u64,
     /// The least time between two writes of a bucket, on average.
-    pub pace_us: u64,
+    pub write_interval_us: u64,
     /// How many writes a bucket that was idle may make at once.
-    pub burst: u64,
+    pub write_burst: u64,
     /// How long an ending waits for a claim to be written with.
-    pub ending_us: u64,
+    pub ending_delay_us: u64,
     /// How long the bucket leaves the store alone after calls that failed.
-    pub retry_us: u64,
+    pub retry_delay_us: u64,
 }
 
 impl Default for ClaimPolicy {
     fn default() -> Self {
         Self {
             epoch_ms: 12 * 3_600 * 1_000,
-            pace_us: 50_000,
-            burst: 3,
-            ending_us: 250_000,
-            retry_us: 200_000,
+            write_interval_us: 50_000,
+            write_burst: 3,
+            ending_delay_us: 250_000,
+            retry_delay_us: 200_000,
         }
     }
 }
 
 /// A claim that waits for its answer, numbered by the shell.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
-pub struct Ticket(pub u64);
+pub struct ClaimId(pub u64);
 
 /// What a bucket takes in.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -40,14 +40,14 @@
     /// An entry wants a key.
     Claim {
         /// The claim's number.
-        ticket: Ticket,
+        claim_id: ClaimId,
         /// The claim.
         request: ClaimRequest,
     },
     /// An entry says what became of a request.
-    Record(RecordRequest),
+    RecordEnding(RecordRequest),
     /// The call that ran has ended.
-    Called(StoreResult),
+    CallFinished(StoreResult),
     /// The time asked for has come.
     Timer,
 }
@@ -70,7 +70,7 @@
         /// The key.
         key: EcoString,
         /// The value.
-        text: EcoString,
+        value: EcoString,
     },
 }
 
@@ -99,7 +99,7 @@
     /// Answer a claim.
     Answer {
         /// The claim.
-        ticket: Ticket,
+        claim_id: ClaimId,
         /// The answer.
         answer: ClaimAnswer,
     },
--- a/crates/sassafrasproxy-core/src/control/holdings.rs
+++ b/crates/sassafrasproxy-core/src/control/holdings.rs
@@ -14,60 +14,60 @@
 /// hide that for good.
 #[derive(Debug, Default)]
 pub struct HoldingsTable {
-    published: IndexMap<EcoString, IndexMap<EcoString, GroupHoldings>>,
+    published_by_node: IndexMap<EcoString, IndexMap<EcoString, GroupHoldings>>,
     /// What counts, by group.
-    merged: Arc<IndexMap<EcoString, GroupHoldings>>,
+    effective: Arc<IndexMap<EcoString, GroupHoldings>>,
 }
 
 impl HoldingsTable {
     /// What counts, by group.
-    pub fn merged(&self) -> &Arc<IndexMap<EcoString, GroupHoldings>> {
-        &self.merged
+    pub fn effective(&self) -> &Arc<IndexMap<EcoString, GroupHoldings>> {
+        &self.effective
     }
 
     /// Takes a node's publications in; a whole one replaces all that it published before.
-    pub fn hear(&mut self, heard: NodeHoldings, home: impl Fn(&str) -> Option<EcoString>) {
+    pub fn merge_node(&mut self, heard: NodeHoldings, home: impl Fn(&str) -> Option<EcoString>) {
         if heard.is_whole {
-            let node = self.published.swap_remove(&heard.node);
+            let node = self.published_by_node.swap_remove(&heard.node);
             for group in node.into_iter().flat_map(IndexMap::into_keys) {
-                self.settle(&group, home(&group).as_ref());
+                self.reselect(&group, home(&group).as_ref());
             }
         }
         for holdings in heard.groups {
             let group = holdings.group.clone();
-            self.take(holdings);
-            self.settle(&group, home(&group).as_ref());
+            self.insert_if_newer(holdings);
+            self.reselect(&group, home(&group).as_ref());
         }
     }
 
     /// Takes one publication in, whoever passed it on; an older one of the same home is dropped.
-    pub fn correct(&mut self, holdings: GroupHoldings, home: Option<&EcoString>) {
+    pub fn merge_group(&mut self, holdings: GroupHoldings, home: Option<&EcoString>) {
         let group = holdings.group.clone();
-        self.take(holdings);
-        self.settle(&group, home);
+        self.insert_if_newer(holdings);
+        self.reselect(&group, home);
     }
 
     /// Works out anew what counts, after homes, members or groups have changed.
-    pub fn settle_all(
+    pub fn reselect_all(
         &mut self,
         is_member: impl Fn(&str) -> bool,
         homes: &IndexMap<EcoString, Vec<EcoString>>,
     ) {
-        self.published.retain(|node, _| is_member(node));
-        for groups in self.published.values_mut() {
+        self.published_by_node.retain(|node, _| is_member(node));
+        for groups in self.published_by_node.values_mut() {
             groups.retain(|group, _| homes.contains_key(group));
         }
-        Arc::make_mut(&mut self.merged).retain(|group, _| homes.contains_key(group));
+        Arc::make_mut(&mut self.effective).retain(|group, _| homes.contains_key(group));
         for (group, ranked) in homes {
-            let counts = self.merged.get(group).map(|holdings| &holdings.home);
+            let counts = self.effective.get(group).map(|holdings| &holdings.home);
             if counts.is_none() || counts != ranked.first() {
-                self.settle(group, ranked.first());
+                self.reselect(group, ranked.first());
             }
         }
     }
 
-    fn take(&mut self, holdings: GroupHoldings) {
-        let groups = self.published.entry(holdings.home.clone()).or_default();
+    fn insert_if_newer(&mut self, holdings: GroupHoldings) {
+        let groups = self.published_by_node.entry(holdings.home.clone()).or_default();
         let known = groups.get(&holdings.group);
         if known.is_none_or(|known| known.made_at < holdings.made_at) {
             groups.insert(holdings.group.clone(), holdings);
@@ -75,15 +75,15 @@
     }
 
     /// Works out what counts of one group; what counted stays while nothing better is known.
-    fn settle(&mut self, group: &EcoString, home: Option<&EcoString>) {
-        let by_home = home.and_then(|home| self.published.get(home)?.get(group));
-        let all = self.published.values().filter_map(|groups| groups.get(group));
+    fn reselect(&mut self, group: &EcoString, home: Option<&EcoString>) {
+        let by_home = home.and_then(|home| self.published_by_node.get(home)?.get(group));
+        let all = self.published_by_node.values().filter_map(|groups| groups.get(group));
         let Some(best) = by_home.or_else(|| all.max_by_key(|holdings| holdings.made_at)) else {
             return;
         };
-        if self.merged.get(group) != Some(best) {
+        if self.effective.get(group) != Some(best) {
             let best = best.clone();
-            Arc::make_mut(&mut self.merged).insert(group.clone(), best);
+            Arc::make_mut(&mut self.effective).insert(group.clone(), best);
         }
     }
 }
--- a/crates/sassafrasproxy-core/src/control/members.rs
+++ b/crates/sassafrasproxy-core/src/control/members.rs
@@ -38,13 +38,13 @@
     /// The hash of its failure domain's name.
     pub domain_hash: u64,
     /// The hash of its state and incarnation; 0 while it is dead.
-    entry_hash: u64,
+    state_hash: u64,
     /// The configuration revision that it last reported.
     pub revision: u64,
     /// The version of its holdings that it last reported.
     pub holdings_version: u64,
     /// When this node last heard from it directly; 0 if never.
-    pub heard_us: u64,
+    pub last_heartbeat_us: u64,
     /// When its state last changed in this node's view.
     pub state_since_us: u64,
 }
@@ -58,7 +58,7 @@
     }
 
     /// What to tell others of it.
-    pub fn as_update(&self) -> MemberUpdate {
+    pub fn to_update(&self) -> MemberUpdate {
         MemberUpdate {
             node: self.node.clone(),
             peer_address: self.peer_address.clone(),
@@ -83,10 +83,10 @@
             incarnation: update.incarnation,
             name_hash: hash_name(&update.node),
             domain_hash: hash_name(&update.failure_domain),
-            entry_hash: 0,
+            state_hash: 0,
             revision: 0,
             holdings_version: 0,
-            heard_us: 0,
+            last_heartbeat_us: 0,
             state_since_us: now_us,
         }
     }
@@ -95,18 +95,18 @@
 /// All members that this node knows, itself included.
 #[derive(Debug, Clone)]
 pub struct MemberTable {
-    me: EcoString,
+    local_node: EcoString,
     /// By name; always has this node.
     members: IndexMap<EcoString, Member>,
     /// How often each member's news are still to be sent.
-    news: IndexMap<EcoString, u32>,
+    pending_updates: IndexMap<EcoString, u32>,
     /// Members still to be probed in this round.
-    round: Vec<EcoString>,
+    probe_round: Vec<EcoString>,
     /// How many members there were when the round began.
-    round_size: usize,
+    probe_round_size: usize,
     /// Where the full table's slow round of news goes on.
-    cursor: usize,
-    hash: u64,
+    sync_cursor: usize,
+    members_hash: u64,
 }
 
 /// Hashes over a part of a table of members, so that two nodes find the few on which they disagree.
@@ -125,7 +125,7 @@
 
 impl Digests {
     /// Which hash a member belongs to, if it is in this part.
-    fn bucket(&self, name_hash: u64) -> Option<usize> {
+    fn bucket_index(&self, name_hash: u64) -> Option<usize> {
         let count = self.hashes.len() as u64;
         // Both come from a peer: a part without hashes has no member.
         let place = name_hash.checked_rem(count * u64::from(self.parts))?;
@@ -147,21 +147,21 @@
     pub fn new(me: &MemberUpdate, now_us: u64) -> Self {
         let members = [(me.node.clone(), Member::new(me, now_us))].into_iter().collect();
         let mut table = Self {
-            me: me.node.clone(),
+            local_node: me.node.clone(),
             members,
-            news: IndexMap::new(),
-            round: Vec::new(),
-            round_size: 0,
-            cursor: 0,
-            hash: 0,
+            pending_updates: IndexMap::new(),
+            probe_round: Vec::new(),
+            probe_round_size: 0,
+            sync_cursor: 0,
+            members_hash: 0,
         };
-        table.changed(&me.node);
+        table.queue_update(&me.node);
         table
     }
 
     /// This node's own entry.
-    pub fn me(&self) -> &Member {
-        &self.members[&self.me]
+    pub fn local_member(&self) -> &Member {
+        &self.members[&self.local_node]
     }
 
     /// One member.
@@ -170,7 +170,7 @@
     }
 
     /// The member that has a peer address and is not dead.
-    pub fn at(&self, peer_address: &str) -> Option<&Member> {
+    pub fn by_peer_address(&self, peer_address: &str) -> Option<&Member> {
         self.present().find(|member| member.peer_address == peer_address)
     }
 
@@ -181,16 +181,16 @@
 
     /// All members that are not dead, this node excluded.
     pub fn peers(&self) -> impl Iterator<Item = &Member> {
-        self.present().filter(|member| member.node != self.me)
+        self.present().filter(|member| member.node != self.local_node)
     }
 
     /// A hash over the members that are not dead, equal in all nodes that agree.
-    pub fn hash(&self) -> u64 {
-        self.hash
+    pub fn members_hash(&self) -> u64 {
+        self.members_hash
     }
 
     /// The member whose name has a hash, dead ones included.
-    pub fn by_hash(&self, name_hash: u64) -> Option<&Member> {
+    pub fn by_name_hash(&self, name_hash: u64) -> Option<&Member> {
         self.members.values().find(|member| member.name_hash == name_hash)
     }
 
@@ -198,19 +198,19 @@
     pub fn digests(&self, part: u32, parts: u32, count: usize) -> Digests {
         let mut digests = Digests { part, parts, hashes: vec![0; count] };
         for member in self.members.values() {
-            if let Some(bucket) = digests.bucket(member.name_hash) {
+            if let Some(bucket) = digests.bucket_index(member.name_hash) {
                 let hash = &mut digests.hashes[bucket];
-                *hash = hash.wrapping_add(member.entry_hash as u32);
+                *hash = hash.wrapping_add(member.state_hash as u32);
             }
         }
         digests
     }
 
     /// The members, dead ones included, for which a peer's digests differ from this node's.
-    pub fn differing(&self, theirs: &Digests) -> Vec<&Member> {
+    pub fn members_differing_from(&self, theirs: &Digests) -> Vec<&Member> {
         let ours = self.digests(theirs.part, theirs.parts, theirs.hashes.len());
         let is_differing = |member: &&Member| {
-            let bucket = theirs.bucket(member.name_hash);
+            let bucket = theirs.bucket_index(member.name_hash);
             bucket.is_some_and(|bucket| ours.hashes[bucket] != theirs.hashes[bucket])
         };
         self.members.values().filter(is_differing).collect()
@@ -218,7 +218,7 @@
 
     /// Takes news on one member in, by incarnation and then by state.
     pub fn merge(&mut self, now_us: u64, update: &MemberUpdate) -> Option<MemberChange> {
-        if update.node == self.me {
+        if update.node == self.local_node {
             return self.refute(update);
         }
         let known = self.members.get(&update.node);
@@ -231,28 +231,28 @@
         let mut member = Member::new(update, now_us);
         let old_state = known.map(|known| known.state);
         if let Some(known) = known {
-            member.heard_us = known.heard_us;
-            member.entry_hash = known.entry_hash;
+            member.last_heartbeat_us = known.last_heartbeat_us;
+            member.state_hash = known.state_hash;
             member.revision = known.revision;
             let is_same_life = known.incarnation == update.incarnation;
             member.holdings_version = if is_same_life { known.holdings_version } else { 0 };
         }
         self.members.insert(update.node.clone(), member);
-        self.changed(&update.node);
+        self.queue_update(&update.node);
         let change = MemberChange { node: update.node.clone(), state: update.state };
         (old_state != Some(update.state)).then_some(change)
     }
 
     /// Notes that a peer's heartbeat came; returns whether its holdings are newer than known.
-    pub fn note_heard(&mut self, now_us: u64, heartbeat: &Heartbeat) -> bool {
+    pub fn record_heartbeat(&mut self, now_us: u64, heartbeat: &Heartbeat) -> bool {
         let Some(member) = self.members.get_mut(&heartbeat.from.node) else { return false };
-        member.heard_us = now_us;
+        member.last_heartbeat_us = now_us;
         member.revision = heartbeat.revision;
         heartbeat.holdings_version > member.holdings_version
     }
 
     /// Notes which version of a peer's holdings this node has.
-    pub fn note_holdings(&mut self, node: &str, version: u64) {
+    pub fn record_holdings_version(&mut self, node: &str, version: u64) {
         if let Some(member) = self.members.get_mut(node) {
             member.holdings_version = member.holdings_version.max(version);
         }
@@ -266,7 +266,7 @@
             MemberState::Leaving => MemberState::Dead,
             MemberState::Suspect | MemberState::Dead => return None,
         };
-        let update = MemberUpdate { state, ..member.as_update() };
+        let update = MemberUpdate { state, ..member.to_update() };
         self.merge(now_us, &update)
     }
 
@@ -282,37 +282,37 @@
             .members
             .values()
             .filter(is_expired)
-            .map(|member| MemberUpdate { state: MemberState::Dead, ..member.as_update() })
+            .map(|member| MemberUpdate { state: MemberState::Dead, ..member.to_update() })
             .collect();
         expired.iter().filter_map(|update| self.merge(now_us, update)).collect()
     }
 
     /// Announces that this node is leaving.
     pub fn leave(&mut self, now_us: u64) {
-        let me = self.me.clone();
+        let me = self.local_node.clone();
         if let Some(member) = self.members.get_mut(&me) {
             member.state = MemberState::Leaving;
             member.state_since_us = now_us;
         }
-        self.changed(&me);
+        self.queue_update(&me);
     }
 
     /// The next member to probe: each once a round, in a random order.
-    pub fn next_probe(&mut self, rng: &mut impl Rng) -> Option<&Member> {
+    pub fn next_probe_target(&mut self, rng: &mut impl Rng) -> Option<&Member> {
         // A round that began with few members would go on probing these alone for long.
-        if self.members.len() > 2 * self.round_size {
-            self.round.clear();
+        if self.members.len() > 2 * self.probe_round_size {
+            self.probe_round.clear();
         }
         loop {
-            if self.round.is_empty() {
-                self.round_size = self.members.len();
-                self.round = self.peers().map(|member| member.node.clone()).collect();
-                self.round.shuffle(rng);
-                if self.round.is_empty() {
+            if self.probe_round.is_empty() {
+                self.probe_round_size = self.members.len();
+                self.probe_round = self.peers().map(|member| member.node.clone()).collect();
+                self.probe_round.shuffle(rng);
+                if self.probe_round.is_empty() {
                     return None;
                 }
             }
-            let node = self.round.pop()?;
+            let node = self.probe_round.pop()?;
             if self.members.get(&node).is_some_and(|one| one.state != MemberState::Dead) {
                 return self.members.get(&node);
             }
@@ -320,42 +320,47 @@
     }
 
     /// Some peers that answer, chosen at random, one node excluded.
-    pub fn random_peers(&self, rng: &mut impl Rng, count: usize, not: &str) -> Vec<&Member> {
+    pub fn random_peers(
+        &self,
+        rng: &mut impl Rng,
+        count: usize,
+        excluded_node: &str,
+    ) -> Vec<&Member> {
         let candidates: Vec<&Member> = self
             .peers()
-            .filter(|member| member.node != not && member.state == MemberState::Alive)
+            .filter(|member| member.node != excluded_node && member.state == MemberState::Alive)
             .collect();
         candidates.sample(rng, count).copied().collect()
     }
 
     /// The members that changed since the last call, for who spreads the news by itself.
-    pub fn take_changed(&mut self) -> Vec<EcoString> {
-        self.news.drain(..).map(|(node, _)| node).collect()
+    pub fn take_changed_nodes(&mut self) -> Vec<EcoString> {
+        self.pending_updates.drain(..).map(|(node, _)| node).collect()
     }
 
     /// The news to send along: fresh ones first, then a slow round through the whole table.
-    pub fn take_news(&mut self, count: usize, fill: usize) -> Vec<MemberUpdate> {
-        let fresh: Vec<EcoString> = self.news.keys().take(count).cloned().collect();
+    pub fn take_updates(&mut self, count: usize, fill: usize) -> Vec<MemberUpdate> {
+        let fresh: Vec<EcoString> = self.pending_updates.keys().take(count).cloned().collect();
         let mut updates = Vec::new();
         for node in fresh {
-            self.count_sent(&node);
-            updates.extend(self.members.get(&node).map(Member::as_update));
+            self.record_update_sent(&node);
+            updates.extend(self.members.get(&node).map(Member::to_update));
         }
         for _ in 0..fill.min(self.members.len()) {
-            self.cursor = (self.cursor + 1) % self.members.len();
-            let Some((node, member)) = self.members.get_index(self.cursor) else { continue };
+            self.sync_cursor = (self.sync_cursor + 1) % self.members.len();
+            let Some((node, member)) = self.members.get_index(self.sync_cursor) else { continue };
             if updates.iter().all(|update| update.node != *node) {
-                updates.push(member.as_update());
+                updates.push(member.to_update());
             }
         }
         updates
     }
 
     /// Counts one send of a member's news; those sent least come first the next time.
-    fn count_sent(&mut self, node: &EcoString) {
-        let Some(left) = self.news.shift_remove(node) else { return };
+    fn record_update_sent(&mut self, node: &EcoString) {
+        let Some(left) = self.pending_updates.shift_remove(node) else { return };
         if left > 1 {
-            self.news.insert(node.clone(), left - 1);
+            self.pending_updates.insert(node.clone(), left - 1);
         }
     }
 
@@ -364,27 +369,27 @@
     /// Guards against a node that was paused or cut off and is thought dead: it learns so from
     /// the next heartbeat, and the raised incarnation overrules the news everywhere.
     fn refute(&mut self, update: &MemberUpdate) -> Option<MemberChange> {
-        let me = self.me.clone();
+        let me = self.local_node.clone();
         let member = self.members.get_mut(&me)?;
         let is_wrong = (update.incarnation, update.state) > (member.incarnation, member.state);
         if !is_wrong {
             return None;
         }
         member.incarnation = update.incarnation + 1;
-        self.changed(&me);
+        self.queue_update(&me);
         None
     }
 
     /// Puts a member's news on the way and updates the hash.
-    fn changed(&mut self, node: &EcoString) {
+    fn queue_update(&mut self, node: &EcoString) {
         let rounds = 3 * (self.members.len() + 1).ilog2().max(1);
-        self.news.insert(node.clone(), rounds);
+        self.pending_updates.insert(node.clone(), rounds);
         let Some(member) = self.members.get_mut(node) else { return };
-        let old = std::mem::replace(&mut member.entry_hash, 0);
+        let old = std::mem::replace(&mut member.state_hash, 0);
         if member.state != MemberState::Dead {
-            member.entry_hash = hash_member(member);
+            member.state_hash = hash_member(member);
         }
-        self.hash = self.hash.wrapping_sub(old).wrapping_add(member.entry_hash);
+        self.members_hash = self.members_hash.wrapping_sub(old).wrapping_add(member.state_hash);
     }
 }
 
--- a/crates/sassafrasproxy-core/src/control/message.rs
+++ b/crates/sassafrasproxy-core/src/control/message.rs
@@ -9,49 +9,49 @@
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct ControlPolicy {
     /// The time between two ticks; each probes one member.
-    pub heartbeat_us: u64,
+    pub heartbeat_interval_us: u64,
     /// How long a suspected member has to refute.
-    pub suspect_us: u64,
+    pub suspicion_timeout_us: u64,
     /// How long a dead member is remembered, so that old news does not revive it.
-    pub forget_us: u64,
+    pub dead_retention_us: u64,
     /// How many members probe on this node's behalf before it suspects another.
-    pub indirect_probes: usize,
+    pub indirect_probe_count: usize,
     /// How many members hear at once of a new configuration from each that takes it.
-    pub fan_out: usize,
+    pub configuration_fan_out: usize,
     /// How many news on members go with a heartbeat.
-    pub news_per_heartbeat: usize,
+    pub updates_per_heartbeat: usize,
     /// How long a node may count other members than its peers before it asks for more news.
-    pub differs_us: u64,
+    pub hash_mismatch_timeout_us: u64,
     /// How many go to a node that was not known before, or that asks for more.
-    pub news_for_newcomer: usize,
+    pub updates_for_new_member: usize,
     /// How many nodes of each failure domain watch the store.
     pub watchers_per_domain: usize,
     /// How long a node without configuration waits for peers before it reads the store.
-    pub lonely_us: u64,
+    pub store_fallback_us: u64,
     /// The least time between two reads of the VM list by this node.
-    pub vm_list_us: u64,
+    pub vm_list_interval_us: u64,
     /// What each member adds to that time, which bounds the reads of the whole fleet.
-    pub vm_list_per_member_us: u64,
+    pub vm_list_interval_per_member_us: u64,
     /// Whether each node sends to upstreams itself instead of through homes; only to measure by.
-    pub is_direct: bool,
+    pub bypasses_homes: bool,
 }
 
 impl Default for ControlPolicy {
     fn default() -> Self {
         Self {
-            heartbeat_us: 250_000,
-            suspect_us: 1_500_000,
-            forget_us: 60_000_000,
-            indirect_probes: 2,
-            fan_out: 3,
-            news_per_heartbeat: 6,
-            differs_us: 2_000_000,
-            news_for_newcomer: 64,
+            heartbeat_interval_us: 250_000,
+            suspicion_timeout_us: 1_500_000,
+            dead_retention_us: 60_000_000,
+            indirect_probe_count: 2,
+            configuration_fan_out: 3,
+            updates_per_heartbeat: 6,
+            hash_mismatch_timeout_us: 2_000_000,
+            updates_for_new_member: 64,
             watchers_per_domain: 2,
-            lonely_us: 1_000_000,
-            vm_list_us: 1_000_000,
-            vm_list_per_member_us: 20_000,
-            is_direct: false,
+            store_fallback_us: 1_000_000,
+            vm_list_interval_us: 1_000_000,
+            vm_list_interval_per_member_us: 20_000,
+            bypasses_homes: false,
         }
     }
 }
@@ -62,7 +62,7 @@
     /// A member that one node stops hearing is probed by each other node within a few ticks,
     /// suspected, and given up after the suspicion; news of that takes a few ticks more.
     pub fn view_skew_us(&self) -> u64 {
-        self.suspect_us + 6 * self.heartbeat_us
+        self.suspicion_timeout_us + 6 * self.heartbeat_interval_us
     }
 }
 
@@ -72,7 +72,7 @@
     /// The time between two heartbeats has passed.
     Tick,
     /// A peer's heartbeat came, as a probe or as the answer to one.
-    HeartbeatHeard(Heartbeat),
+    HeartbeatReceived(Heartbeat),
     /// A probe of this node got no answer.
     ProbeFailed {
         /// The peer address that was probed.
@@ -88,7 +88,7 @@
         node: EcoString,
     },
     /// A configuration was read and found good.
-    ConfigurationSeen(Configuration),
+    ConfigurationReceived(Configuration),
     /// A configuration was read and found bad.
     ConfigurationRejected {
         /// Its revision.
@@ -97,13 +97,13 @@
         detail: EcoString,
     },
     /// A lane of this node published what its group serves.
-    OwnHoldings(GroupHoldings),
+    LocalHoldings(GroupHoldings),
     /// A peer's holdings came.
-    HoldingsHeard(NodeHoldings),
+    HoldingsReceived(NodeHoldings),
     /// A home corrected this node's picture of one group.
-    GroupHoldingsHeard(GroupHoldings),
+    GroupHoldingsReceived(GroupHoldings),
     /// The platform's VM list was read.
-    VmList(Vec<VmEntry>),
+    VmListReceived(Vec<VmEntry>),
     /// The graceful shutdown begins.
     Shutdown,
 }
@@ -117,9 +117,9 @@
         peer_address: EcoString,
     },
     /// Ask members to probe another, and report an answer or that none got one.
-    ProbeVia {
+    ProbeIndirectly {
         /// The peer addresses of the members to ask.
-        vias: Vec<EcoString>,
+        via_peer_addresses: Vec<EcoString>,
         /// The peer address to probe.
         peer_address: EcoString,
     },
@@ -141,7 +141,7 @@
         holdings: NodeHoldings,
     },
     /// Watch the store for configurations, or stop watching.
-    Watch {
+    WatchStore {
         /// Whether to watch.
         is_on: bool,
     },
@@ -150,7 +150,7 @@
     /// Read the platform's VM list.
     ReadVmList,
     /// Give the traffic threads the changed view.
-    Publish,
+    PublishView,
     /// Put an event on the time line.
-    Note(EventKind),
+    RecordEvent(EventKind),
 }
--- a/crates/sassafrasproxy-core/src/control/mod.rs
+++ b/crates/sassafrasproxy-core/src/control/mod.rs
@@ -23,11 +23,11 @@
 use crate::{GroupTable, HomeTable, View};
 
 /// How many ticks pass between two probes of seeds that are no members.
-const SEED_TICKS: u64 = 4;
+const SEED_PROBE_INTERVAL_TICKS: u64 = 4;
 
 /// All control state of a node.
 #[derive(Debug)]
-pub struct Control {
+pub struct ControlPlane {
     policy: ControlPolicy,
     rng: StdRng,
     members: MemberTable,
@@ -35,32 +35,32 @@
     seeds: IndexSet<EcoString>,
     configuration: Arc<Configuration>,
     /// A newer revision that was found bad, and why.
-    rejected: Option<(u64, EcoString)>,
+    rejected_revision: Option<(u64, EcoString)>,
     groups: Arc<GroupTable>,
     homes: HomeTable,
     holdings: HoldingsTable,
     /// What this node's own lanes published; only groups that it is the home of.
-    own_holdings: IndexMap<EcoString, GroupHoldings>,
+    local_holdings: IndexMap<EcoString, GroupHoldings>,
     holdings_version: u64,
     leaving_upstreams: Arc<IndexSet<EcoString>>,
     is_watching: bool,
     /// The time of the last event.
     now_us: u64,
     /// Since when every heartbeat heard came from a node that counts other members.
-    differs_since_us: Option<u64>,
+    hash_mismatch_since_us: Option<u64>,
     ticks: u64,
-    vm_list_at_us: u64,
-    read_store_at_us: u64,
+    next_vm_list_us: u64,
+    next_store_read_us: u64,
     /// Whether the view changed in more than holdings.
-    is_changed: bool,
+    needs_publish: bool,
     /// Whether every group must be ranked anew.
-    is_reconfigured: bool,
+    needs_full_ranking: bool,
     /// Members whose rank may have changed.
     changed_members: IndexSet<EcoString>,
     effects: Vec<ControlEffect>,
 }
 
-impl Control {
+impl ControlPlane {
     /// The control state of a node that just started.
     pub fn new(
         me: &MemberUpdate,
@@ -75,21 +75,21 @@
             members: MemberTable::new(me, now_us),
             seeds: seeds.into_iter().collect(),
             configuration: Arc::default(),
-            rejected: None,
+            rejected_revision: None,
             groups: Arc::default(),
             homes: HomeTable::default(),
             holdings: HoldingsTable::default(),
-            own_holdings: IndexMap::new(),
+            local_holdings: IndexMap::new(),
             holdings_version: 0,
             leaving_upstreams: Arc::default(),
             is_watching: false,
             now_us,
-            differs_since_us: None,
+            hash_mismatch_since_us: None,
             ticks: 0,
-            vm_list_at_us: now_us,
-            read_store_at_us: now_us + policy.lonely_us,
-            is_changed: true,
-            is_reconfigured: true,
+            next_vm_list_us: now_us,
+            next_store_read_us: now_us + policy.store_fallback_us,
+            needs_publish: true,
+            needs_full_ranking: true,
             changed_members: IndexSet::new(),
             effects: Vec::new(),
         };
@@ -102,25 +102,27 @@
         self.now_us = now_us;
         match event {
             ControlEvent::Tick => self.tick(now_us),
-            ControlEvent::HeartbeatHeard(heartbeat) => self.hear(now_us, &heartbeat),
+            ControlEvent::HeartbeatReceived(heartbeat) => self.handle_heartbeat(now_us, &heartbeat),
             ControlEvent::ProbeFailed { peer_address, sent_us, is_indirect } => {
-                self.probe_failed(now_us, &peer_address, sent_us, is_indirect);
+                self.handle_failed_probe(now_us, &peer_address, sent_us, is_indirect);
             }
             ControlEvent::PeerFailed { node } => self.probe_now(&node),
-            ControlEvent::ConfigurationSeen(configuration) => self.adopt(configuration),
+            ControlEvent::ConfigurationReceived(configuration) => {
+                self.apply_configuration(configuration);
+            }
             ControlEvent::ConfigurationRejected { revision, detail } => {
-                self.reject(revision, detail);
+                self.reject_configuration(revision, detail);
             }
-            ControlEvent::OwnHoldings(holdings) => self.publish_holdings(holdings),
-            ControlEvent::HoldingsHeard(holdings) => self.hear_holdings(holdings),
-            ControlEvent::GroupHoldingsHeard(holdings) => self.correct_holdings(holdings),
-            ControlEvent::VmList(vms) => self.hear_vms(&vms),
+            ControlEvent::LocalHoldings(holdings) => self.publish_holdings(holdings),
+            ControlEvent::HoldingsReceived(holdings) => self.merge_holdings(holdings),
+            ControlEvent::GroupHoldingsReceived(holdings) => self.merge_group_holdings(holdings),
+            ControlEvent::VmListReceived(vms) => self.apply_vm_list(&vms),
             ControlEvent::Shutdown => self.shut_down(now_us),
         }
-        if std::mem::take(&mut self.is_changed) {
+        if std::mem::take(&mut self.needs_publish) {
             self.rank_homes();
-            self.decide_watch();
-            self.effects.push(ControlEffect::Publish);
+            self.update_watch();
+            self.effects.push(ControlEffect::PublishView);
         }
         std::mem::take(&mut self.effects)
     }
@@ -129,50 +131,50 @@
     pub fn heartbeat(&mut self, hlc: Hlc, to: Option<&Heartbeat>) -> Heartbeat {
         let fill = match to {
             Some(theirs) if self.members.member(&theirs.from.node).is_none() => {
-                self.policy.news_for_newcomer
+                self.policy.updates_for_new_member
             }
-            Some(theirs) if theirs.members_hash == self.members.hash() => 0,
+            Some(theirs) if theirs.members_hash == self.members.members_hash() => 0,
             // Few after one change, many for a node that is still behind, as in a mass start.
-            Some(theirs) if theirs.wants_news => self.policy.news_for_newcomer,
-            Some(_) => self.policy.news_per_heartbeat,
+            Some(theirs) if theirs.wants_news => self.policy.updates_for_new_member,
+            Some(_) => self.policy.updates_per_heartbeat,
             None => 0,
         };
         Heartbeat {
-            from: self.members.me().as_update(),
+            from: self.members.local_member().to_update(),
             revision: self.configuration.revision,
             holdings_version: self.holdings_version,
-            members_hash: self.members.hash(),
-            wants_news: self
-                .differs_since_us
-                .is_some_and(|since_us| self.now_us >= since_us + self.policy.differs_us),
-            updates: self.members.take_news(self.policy.news_per_heartbeat, fill),
+            members_hash: self.members.members_hash(),
+            wants_news: self.hash_mismatch_since_us.is_some_and(|since_us| {
+                self.now_us >= since_us + self.policy.hash_mismatch_timeout_us
+            }),
+            updates: self.members.take_updates(self.policy.updates_per_heartbeat, fill),
             hlc,
         }
     }
 
     /// The view for the traffic threads.
     pub fn view(&self) -> View {
-        let me = self.members.me();
+        let me = self.members.local_member();
         let present = self.members.present();
         View {
-            me: me.node.clone(),
+            local_node: me.node.clone(),
             leaving: me.state == MemberState::Leaving,
             configuration: self.configuration.clone(),
             groups: self.groups.clone(),
             members: Arc::new(present.map(|one| (one.node.clone(), one.clone())).collect()),
             homes: self.homes.homes().clone(),
-            holdings: self.holdings.merged().clone(),
+            holdings: self.holdings.effective().clone(),
             leaving_upstreams: self.leaving_upstreams.clone(),
         }
     }
 
     /// What this node's own lanes published.
-    pub fn own_holdings(&self) -> NodeHoldings {
+    pub fn local_holdings(&self) -> NodeHoldings {
         NodeHoldings {
-            node: self.members.me().node.clone(),
+            node: self.members.local_member().node.clone(),
             version: self.holdings_version,
             is_whole: true,
-            groups: self.own_holdings.values().cloned().collect(),
+            groups: self.local_holdings.values().cloned().collect(),
         }
     }
 
@@ -187,43 +189,47 @@
     }
 
     /// A newer revision that was found bad, and why.
-    pub fn rejected(&self) -> Option<&(u64, EcoString)> {
-        self.rejected.as_ref()
+    pub fn rejected_revision(&self) -> Option<&(u64, EcoString)> {
+        self.rejected_revision.as_ref()
     }
 
     /// Probes one member, gives up on those that did not refute, and reads what is due.
     fn tick(&mut self, now_us: u64) {
         self.ticks += 1;
-        let changes = self.members.expire(now_us, self.policy.suspect_us, self.policy.forget_us);
-        self.note_changes(changes);
-        if let Some(member) = self.members.next_probe(&mut self.rng) {
+        let changes = self.members.expire(
+            now_us,
+            self.policy.suspicion_timeout_us,
+            self.policy.dead_retention_us,
+        );
+        self.record_changes(changes);
+        if let Some(member) = self.members.next_probe_target(&mut self.rng) {
             let peer_address = member.peer_address.clone();
             self.effects.push(ControlEffect::Probe { peer_address });
         }
-        if self.ticks % SEED_TICKS == 1 {
+        if self.ticks % SEED_PROBE_INTERVAL_TICKS == 1 {
             self.probe_seeds();
         }
-        self.read_what_is_due(now_us);
+        self.start_due_reads(now_us);
     }
 
     /// Probes addresses that no member has, so that a node cut off at its start still joins.
     fn probe_seeds(&mut self) {
-        let unknown = self.seeds.iter().filter(|seed| self.members.at(seed).is_none());
+        let unknown = self.seeds.iter().filter(|seed| self.members.by_peer_address(seed).is_none());
         let probes = unknown.map(|seed| ControlEffect::Probe { peer_address: seed.clone() });
         self.effects.extend(probes);
     }
 
     /// Reads the VM list and, without a configuration, the store.
-    fn read_what_is_due(&mut self, now_us: u64) {
-        if now_us >= self.vm_list_at_us {
-            let per_member_us = self.policy.vm_list_per_member_us;
+    fn start_due_reads(&mut self, now_us: u64) {
+        if now_us >= self.next_vm_list_us {
+            let per_member_us = self.policy.vm_list_interval_per_member_us;
             let members = self.members.present().count() as u64;
-            let base_us = self.policy.vm_list_us.max(members * per_member_us);
-            self.vm_list_at_us = now_us + self.jitter_us(base_us);
+            let base_us = self.policy.vm_list_interval_us.max(members * per_member_us);
+            self.next_vm_list_us = now_us + self.jitter_us(base_us);
             self.effects.push(ControlEffect::ReadVmList);
         }
-        if self.configuration.revision == 0 && now_us >= self.read_store_at_us {
-            self.read_store_at_us = now_us + self.jitter_us(self.policy.lonely_us);
+        if self.configuration.revision == 0 && now_us >= self.next_store_read_us {
+            self.next_store_read_us = now_us + self.jitter_us(self.policy.store_fallback_us);
             self.effects.push(ControlEffect::ReadStore);
         }
     }
@@ -234,48 +240,55 @@
     }
 
     /// Takes a peer's heartbeat in.
-    fn hear(&mut self, now_us: u64, heartbeat: &Heartbeat) {
+    fn handle_heartbeat(&mut self, now_us: u64, heartbeat: &Heartbeat) {
         let mut changes = Vec::new();
         changes.extend(self.members.merge(now_us, &heartbeat.from));
         for update in &heartbeat.updates {
             changes.extend(self.members.merge(now_us, update));
         }
-        self.note_changes(changes);
-        if heartbeat.members_hash == self.members.hash() {
-            self.differs_since_us = None;
+        self.record_changes(changes);
+        if heartbeat.members_hash == self.members.members_hash() {
+            self.hash_mismatch_since_us = None;
         } else {
-            self.differs_since_us.get_or_insert(now_us);
+            self.hash_mismatch_since_us.get_or_insert(now_us);
         }
         let peer_address = heartbeat.from.peer_address.clone();
-        if self.members.note_heard(now_us, heartbeat) {
+        if self.members.record_heartbeat(now_us, heartbeat) {
             self.effects.push(ControlEffect::PullHoldings { peer_address: peer_address.clone() });
         }
-        let rejected = self.rejected.as_ref().map_or(0, |(revision, _)| *revision);
+        let rejected = self.rejected_revision.as_ref().map_or(0, |(revision, _)| *revision);
         if heartbeat.revision > self.configuration.revision.max(rejected) {
             self.effects.push(ControlEffect::PullConfiguration { peer_address });
         }
     }
 
     /// Asks others to probe a member that did not answer, or suspects it if they failed too.
-    fn probe_failed(&mut self, now_us: u64, peer_address: &str, sent_us: u64, is_indirect: bool) {
-        let Some(member) = self.members.at(peer_address) else { return };
-        if member.heard_us >= sent_us {
+    fn handle_failed_probe(
+        &mut self,
+        now_us: u64,
+        peer_address: &str,
+        sent_us: u64,
+        is_indirect: bool,
+    ) {
+        let Some(member) = self.members.by_peer_address(peer_address) else { return };
+        if member.last_heartbeat_us >= sent_us {
             return;
         }
         let node = member.node.clone();
         if is_indirect {
             let changes = self.members.suspect(now_us, &node);
-            return self.note_changes(changes);
+            return self.record_changes(changes);
         }
-        let count = self.policy.indirect_probes;
+        let count = self.policy.indirect_probe_count;
         let helpers = self.members.random_peers(&mut self.rng, count, &node);
         let vias: Vec<EcoString> = helpers.iter().map(|one| one.peer_address.clone()).collect();
         if vias.is_empty() {
             let changes = self.members.suspect(now_us, &node);
-            return self.note_changes(changes);
+            return self.record_changes(changes);
         }
         let peer_address = peer_address.into();
-        self.effects.push(ControlEffect::ProbeVia { vias, peer_address });
+        self.effects
+            .push(ControlEffect::ProbeIndirectly { via_peer_addresses: vias, peer_address });
     }
 
     /// Probes a member at once, because traffic to it failed.
@@ -288,27 +301,27 @@
     }
 
     /// Takes a configuration that is newer than the one in force, and only such a one.
-    fn adopt(&mut self, configuration: Configuration) {
+    fn apply_configuration(&mut self, configuration: Configuration) {
         if configuration.revision <= self.configuration.revision {
             return;
         }
-        self.rejected = None;
+        self.rejected_revision = None;
         self.groups = Arc::new(GroupTable::new(&configuration));
         let groups = self.groups.clone();
-        self.own_holdings.retain(|group, _| groups.group(group).is_some());
-        self.effects.push(ControlEffect::Note(EventKind::RevisionInForce {
+        self.local_holdings.retain(|group, _| groups.group(group).is_some());
+        self.effects.push(ControlEffect::RecordEvent(EventKind::RevisionInForce {
             revision: configuration.revision,
             domains_out: configuration.domains_out.iter().cloned().collect(),
         }));
         self.configuration = Arc::new(configuration);
-        self.is_changed = true;
-        self.is_reconfigured = true;
-        self.tell_some();
+        self.needs_publish = true;
+        self.needs_full_ranking = true;
+        self.probe_random_peers();
     }
 
     /// Heartbeats to some peers at once, so that news need not wait for ticks.
-    fn tell_some(&mut self) {
-        let peers = self.members.random_peers(&mut self.rng, self.policy.fan_out, "");
+    fn probe_random_peers(&mut self) {
+        let peers = self.members.random_peers(&mut self.rng, self.policy.configuration_fan_out, "");
         let probes: Vec<ControlEffect> = peers
             .iter()
             .map(|peer| ControlEffect::Probe { peer_address: peer.peer_address.clone() })
@@ -317,40 +330,40 @@
     }
 
     /// Keeps the configuration in force and says loudly that a newer one is bad.
-    fn reject(&mut self, revision: u64, detail: EcoString) {
-        let known = self.rejected.as_ref().map_or(0, |(revision, _)| *revision);
+    fn reject_configuration(&mut self, revision: u64, detail: EcoString) {
+        let known = self.rejected_revision.as_ref().map_or(0, |(revision, _)| *revision);
         if revision <= self.configuration.revision.max(known) {
             return;
         }
         let kind = EventKind::RevisionRejected { revision, detail: detail.clone() };
-        self.effects.push(ControlEffect::Note(kind));
-        self.rejected = Some((revision, detail));
+        self.effects.push(ControlEffect::RecordEvent(kind));
+        self.rejected_revision = Some((revision, detail));
     }
 
     /// Publishes what a lane of this node serves.
     fn publish_holdings(&mut self, holdings: GroupHoldings) {
-        if self.homes.home(&holdings.group) != Some(&self.members.me().node) {
+        if self.homes.home(&holdings.group) != Some(&self.members.local_member().node) {
             return;
         }
-        let known = self.own_holdings.get(&holdings.group);
+        let known = self.local_holdings.get(&holdings.group);
         if known.is_some_and(|known| known.snapshots == holdings.snapshots) {
             return;
         }
         self.holdings_version += 1;
-        self.own_holdings.insert(holdings.group.clone(), holdings.clone());
+        self.local_holdings.insert(holdings.group.clone(), holdings.clone());
         let peer_addresses = self.members.peers().map(|peer| peer.peer_address.clone()).collect();
         let news = NodeHoldings {
-            node: self.members.me().node.clone(),
+            node: self.members.local_member().node.clone(),
             version: self.holdings_version,
             is_whole: false,
             groups: vec![holdings.clone()],
         };
         self.effects.push(ControlEffect::PushHoldings { peer_addresses, holdings: news });
-        self.correct_holdings(holdings);
+        self.merge_group_holdings(holdings);
     }
 
     /// Takes a peer's holdings in.
-    fn hear_holdings(&mut self, heard: NodeHoldings) {
+    fn merge_holdings(&mut self, heard: NodeHoldings) {
         let known = self.members.member(&heard.node).map(|member| member.holdings_version);
         let is_next = known.is_some_and(|known| heard.version <= known + 1);
         let is_placed =
@@ -358,22 +371,22 @@
         // What skips a version, or names a group of a configuration that is not here yet, leaves
         // the pull of the next heartbeat to fill the gap.
         if is_placed && (is_next || heard.is_whole) {
-            self.members.note_holdings(&heard.node, heard.version);
+            self.members.record_holdings_version(&heard.node, heard.version);
         }
         let homes = &self.homes;
-        self.holdings.hear(heard, |group| homes.home(group).cloned());
-        self.effects.push(ControlEffect::Publish);
+        self.holdings.merge_node(heard, |group| homes.home(group).cloned());
+        self.effects.push(ControlEffect::PublishView);
     }
 
     /// Takes a home's correction of one group in.
-    fn correct_holdings(&mut self, holdings: GroupHoldings) {
+    fn merge_group_holdings(&mut self, holdings: GroupHoldings) {
         let home = self.homes.home(&holdings.group);
-        self.holdings.correct(holdings, home);
-        self.effects.push(ControlEffect::Publish);
+        self.holdings.merge_group(holdings, home);
+        self.effects.push(ControlEffect::PublishView);
     }
 
     /// Takes the platform's VM list in: peers to try, and upstreams that are leaving.
-    fn hear_vms(&mut self, vms: &[VmEntry]) {
+    fn apply_vm_list(&mut self, vms: &[VmEntry]) {
         let leaving: IndexSet<EcoString> = vms
             .iter()
             .filter(|vm| vm.state == VmState::Leaving)
@@ -385,7 +398,7 @@
             .flat_map(|group| &group.replicas)
             .map(|replica| &replica.address)
             .collect();
-        let me = &self.members.me().peer_address;
+        let me = &self.members.local_member().peer_address;
         let peers = vms.iter().filter(|vm| vm.state == VmState::Live);
         let peers = peers.map(|vm| &vm.address);
         let seeds: Vec<EcoString> =
@@ -393,63 +406,63 @@
         self.seeds.extend(seeds);
         if *self.leaving_upstreams != leaving {
             self.leaving_upstreams = Arc::new(leaving);
-            self.is_changed = true;
+            self.needs_publish = true;
         }
     }
 
     /// Announces that this node is leaving, to some peers at once.
     fn shut_down(&mut self, now_us: u64) {
-        if self.members.me().state == MemberState::Leaving {
+        if self.members.local_member().state == MemberState::Leaving {
             return;
         }
         self.members.leave(now_us);
-        self.effects.push(ControlEffect::Note(EventKind::NodeLeaving));
+        self.effects.push(ControlEffect::RecordEvent(EventKind::NodeLeaving));
         let peers: Vec<EcoString> =
             self.members.peers().map(|peer| peer.peer_address.clone()).collect();
         let probes = peers.into_iter().map(|peer_address| ControlEffect::Probe { peer_address });
         self.effects.extend(probes);
-        self.changed_members.insert(self.members.me().node.clone());
-        self.is_changed = true;
+        self.changed_members.insert(self.members.local_member().node.clone());
+        self.needs_publish = true;
     }
 
     /// Puts changed members on the time line and asks for a new view.
-    fn note_changes(&mut self, changes: impl IntoIterator<Item = MemberChange>) {
+    fn record_changes(&mut self, changes: impl IntoIterator<Item = MemberChange>) {
         for MemberChange { node, state } in changes {
-            self.is_changed = true;
+            self.needs_publish = true;
             self.changed_members.insert(node.clone());
             let kind = EventKind::MemberChanged { member: node, state };
-            self.effects.push(ControlEffect::Note(kind));
+            self.effects.push(ControlEffect::RecordEvent(kind));
         }
     }
 
     /// Ranks the homes anew, everywhere or where changed members make a difference.
     fn rank_homes(&mut self) {
-        let present: Vec<&Member> = if self.policy.is_direct {
-            vec![self.members.me()]
+        let present: Vec<&Member> = if self.policy.bypasses_homes {
+            vec![self.members.local_member()]
         } else {
             self.members.present().collect()
         };
         let out = &self.configuration.domains_out;
         let changed = std::mem::take(&mut self.changed_members);
-        if std::mem::take(&mut self.is_reconfigured) {
+        if std::mem::take(&mut self.needs_full_ranking) {
             self.homes.rank_all(&self.groups, &present, out);
         } else {
             for node in &changed {
-                self.homes.update(&self.groups, &present, out, node);
+                self.homes.update_member(&self.groups, &present, out, node);
             }
         }
-        let (homes, me) = (&self.homes, &self.members.me().node);
-        self.own_holdings.retain(|group, _| homes.home(group) == Some(me));
+        let (homes, me) = (&self.homes, &self.members.local_member().node);
+        self.local_holdings.retain(|group, _| homes.home(group) == Some(me));
         let members = &self.members;
         let is_member = |node: &str| {
             members.member(node).is_some_and(|member| member.state != MemberState::Dead)
         };
-        self.holdings.settle_all(is_member, homes.homes());
+        self.holdings.reselect_all(is_member, homes.homes());
     }
 
     /// Decides whether this node is one of those that watch the store for its failure domain.
-    fn decide_watch(&mut self) {
-        let me = self.members.me();
+    fn update_watch(&mut self) {
+        let me = self.members.local_member();
         let alive = self.members.present().filter(|one| one.state == MemberState::Alive);
         let domain: Vec<&Member> =
             alive.filter(|one| one.failure_domain == me.failure_domain).collect();
@@ -461,7 +474,7 @@
             .any(|member| member.node == me.node);
         if is_on != self.is_watching {
             self.is_watching = is_on;
-            self.effects.push(ControlEffect::Watch { is_on });
+            self.effects.push(ControlEffect::WatchStore { is_on });
         }
     }
 }
--- a/crates/sassafrasproxy-core/src/forward/callers/admission.rs
+++ b/crates/sassafrasproxy-core/src/forward/callers/admission.rs
@@ -3,13 +3,13 @@
 /// The part of the time that an answer may take which a request may wait before it is sent.
 ///
 /// A caller that is refused within this part still has time for a second attempt.
-const WAIT_PART: u64 = 8;
+const MAX_WAIT_DIVISOR: u64 = 8;
 
 /// What to do with a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Admission {
     /// Replicas can take it now.
-    Now,
+    Admit,
     /// Replicas will be able to take it soon: look again then.
     Wait {
         /// The time.
@@ -28,9 +28,9 @@
 pub fn admit(now_us: u64, arrived_us: u64, end_us: u64, soonest_us: Option<u64>) -> Admission {
     let Some(soonest_us) = soonest_us else { return Admission::Refuse };
     if soonest_us == 0 {
-        return Admission::Now;
+        return Admission::Admit;
     }
-    let longest_us = arrived_us + end_us.saturating_sub(arrived_us) / WAIT_PART;
+    let longest_us = arrived_us + end_us.saturating_sub(arrived_us) / MAX_WAIT_DIVISOR;
     let until_us = now_us + soonest_us.max(crate::US_PER_MS);
     if until_us > longest_us {
         return Admission::Refuse;
--- a/crates/sassafrasproxy-core/src/forward/callers/caller_delays.rs
+++ b/crates/sassafrasproxy-core/src/forward/callers/caller_delays.rs
@@ -8,46 +8,46 @@
 use crate::US_PER_MS;
 
 /// How many requests of a route on kept connections are looked at.
-const WINDOW: usize = 32;
+const REUSED_WINDOW_LEN: usize = 32;
 
 /// The longest that a caller takes to ask the directory and connect, in milliseconds.
 const MAX_SETUP_MS: u64 = 300;
 
 /// How many setup times are looked at for the shortest one.
-const SETUP_WINDOW: usize = 256;
+const SETUP_WINDOW_LEN: usize = 256;
 
 /// One in so many setup times, or more, must be about as short to count as a round trip.
-const SUPPORT_PART: usize = 40;
+const SUPPORT_DIVISOR: usize = 40;
 
 /// How many must be about as short, however few are known.
 const MIN_SUPPORT: usize = 3;
 
 /// From how many setup times on a round trip is believed: with fewer, none may be a caller's that only
 /// had to connect.
-const MANY_SETUPS: usize = 12;
+const MIN_SETUPS_FOR_ESTIMATE: usize = 12;
 
 /// How much longer three round trips are than two, with the directory's own time.
-const THREE_TO_TWO: std::ops::RangeInclusive<f64> = 1.4..=1.75;
+const THREE_TO_TWO_TRIPS_RATIO: std::ops::RangeInclusive<f64> = 1.4..=1.75;
 
 /// How many round trips a caller takes that asks the directory and connects: to connect there, to
 /// ask, and to connect here.
-const DIRECTORY_TRIPS: u64 = 3;
+const DIRECTORY_ROUND_TRIPS: u64 = 3;
 
 /// The least setup time, in milliseconds: below, it is the caller's own work.
 const MIN_SETUP_MS: u64 = 2;
 
 /// The round trip between callers and nodes of one region, in milliseconds, while nothing is known.
-const UNKNOWN_ROUND_TRIP_MS: u64 = 6;
+const DEFAULT_ROUND_TRIP_MS: u64 = 6;
 
 /// What a request's head says of its caller's time.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct CallerTime {
+pub struct CallerDeadline {
     /// How long the caller still waits, in milliseconds.
     pub deadline_ms: u64,
     /// How long the route lets callers wait, in milliseconds.
     pub timeout_ms: u64,
     /// Whether the request is the first one of its connection.
-    pub is_first: bool,
+    pub is_first_on_connection: bool,
 }
 
 /// Learns from the deadlines that callers send how much of their time is gone.
@@ -58,40 +58,41 @@
 /// taken for the route's. What is missing from it on a new connection is the setup time, and the
 /// shortest setup is one round trip.
 #[derive(Debug, Clone, Default)]
-pub struct CallerDelays {
+pub struct CallerDelayEstimator {
     /// The deadlines of requests on kept connections, by route.
-    kept: IndexMap<EcoString, VecDeque<u64>>,
-    setups: VecDeque<u64>,
+    reused_deadlines_ms: IndexMap<EcoString, VecDeque<u64>>,
+    setup_times_ms: VecDeque<u64>,
 }
 
-impl CallerDelays {
+impl CallerDelayEstimator {
     /// Notes a request; returns how long before it its caller's time started, in microseconds.
-    pub fn note(&mut self, route: &EcoString, time: CallerTime) -> u64 {
-        if !time.is_first {
-            let kept = self.kept.entry(route.clone()).or_default();
-            push(kept, time.deadline_ms, WINDOW);
+    pub fn record_request(&mut self, route: &EcoString, time: CallerDeadline) -> u64 {
+        if !time.is_first_on_connection {
+            let kept = self.reused_deadlines_ms.entry(route.clone()).or_default();
+            push_bounded(kept, time.deadline_ms, REUSED_WINDOW_LEN);
         }
-        let whole_ms = self.whole_time_ms(route).unwrap_or(time.timeout_ms);
+        let whole_ms = self.total_time_ms(route).unwrap_or(time.timeout_ms);
         let gone_ms = whole_ms.saturating_sub(time.deadline_ms);
-        let is_setup = time.is_first && (MIN_SETUP_MS..=MAX_SETUP_MS).contains(&gone_ms);
+        let is_setup =
+            time.is_first_on_connection && (MIN_SETUP_MS..=MAX_SETUP_MS).contains(&gone_ms);
         if is_setup {
-            push(&mut self.setups, gone_ms, SETUP_WINDOW);
+            push_bounded(&mut self.setup_times_ms, gone_ms, SETUP_WINDOW_LEN);
         }
         // More than any setup takes is no sign of lost time: the caller waits less than others.
-        let is_late = time.is_first || self.kept.contains_key(route);
+        let is_late = time.is_first_on_connection || self.reused_deadlines_ms.contains_key(route);
         if is_late && gone_ms < whole_ms { gone_ms * US_PER_MS } else { 0 }
     }
 
     /// The round trip between callers and this node, in microseconds.
     pub fn round_trip_us(&self) -> u64 {
-        round_trip_ms(sorted(&self.setups)) * US_PER_MS
+        round_trip_ms(sorted(&self.setup_times_ms)) * US_PER_MS
     }
 
     /// The time that callers of a route have in all: that of most on kept connections.
     ///
     /// Guards against the few that wait much longer than the others.
-    fn whole_time_ms(&self, route: &EcoString) -> Option<u64> {
-        let sorted = sorted(self.kept.get(route)?);
+    fn total_time_ms(&self, route: &EcoString) -> Option<u64> {
+        let sorted = sorted(self.reused_deadlines_ms.get(route)?);
         sorted.get(sorted.len() / 2).copied()
     }
 }
@@ -103,36 +104,36 @@
 /// answer late that waits until its stop time, where too long a one leaves out what comes in the last
 /// milliseconds.
 fn round_trip_ms(setups: Vec<u64>) -> u64 {
-    let support = (setups.len() / SUPPORT_PART).max(MIN_SUPPORT);
-    if let Some(usual_ms) = supported_ms(&setups, support) {
-        let longer_ms = usual_ms as f64 * THREE_TO_TWO.start();
+    let support = (setups.len() / SUPPORT_DIVISOR).max(MIN_SUPPORT);
+    if let Some(usual_ms) = shortest_supported_ms(&setups, support) {
+        let longer_ms = usual_ms as f64 * THREE_TO_TWO_TRIPS_RATIO.start();
         let longer = setups.partition_point(|setup| (*setup as f64) < longer_ms);
-        if let Some(next_ms) = supported_ms(&setups[longer..], support) {
-            let is_two = THREE_TO_TWO.contains(&(next_ms as f64 / usual_ms as f64))
-                && count_alike(&setups, next_ms) >= count_alike(&setups, usual_ms);
+        if let Some(next_ms) = shortest_supported_ms(&setups[longer..], support) {
+            let is_two = THREE_TO_TWO_TRIPS_RATIO.contains(&(next_ms as f64 / usual_ms as f64))
+                && count_similar(&setups, next_ms) >= count_similar(&setups, usual_ms);
             return if is_two { next_ms - usual_ms } else { usual_ms };
         }
-        if setups.len() >= MANY_SETUPS {
+        if setups.len() >= MIN_SETUPS_FOR_ESTIMATE {
             return usual_ms;
         }
     }
-    let Some(&shortest_ms) = setups.first() else { return UNKNOWN_ROUND_TRIP_MS };
+    let Some(&shortest_ms) = setups.first() else { return DEFAULT_ROUND_TRIP_MS };
     // The shortest of few may be a caller's that asked the directory as well.
-    shortest_ms.min(UNKNOWN_ROUND_TRIP_MS).max(shortest_ms / DIRECTORY_TRIPS)
+    shortest_ms.min(DEFAULT_ROUND_TRIP_MS).max(shortest_ms / DIRECTORY_ROUND_TRIPS)
 }
 
 /// The shortest of sorted times that so many have, give or take a millisecond.
-fn supported_ms(sorted: &[u64], support: usize) -> Option<u64> {
+fn shortest_supported_ms(sorted: &[u64], support: usize) -> Option<u64> {
     let is_alike = |few: &&[u64]| few[0] + 1 >= few[support - 1];
     sorted.windows(support).find(is_alike).map(|few| few[0])
 }
 
 /// How many times are about as long.
-fn count_alike(times_ms: &[u64], time_ms: u64) -> usize {
+fn count_similar(times_ms: &[u64], time_ms: u64) -> usize {
     times_ms.iter().filter(|one| (time_ms..=time_ms + 1).contains(one)).count()
 }
 
-fn push(values: &mut VecDeque<u64>, value: u64, most: usize) {
+fn push_bounded(values: &mut VecDeque<u64>, value: u64, most: usize) {
     if values.len() >= most {
         values.pop_front();
     }
--- a/crates/sassafrasproxy-core/src/forward/callers/directory.rs
+++ b/crates/sassafrasproxy-core/src/forward/callers/directory.rs
@@ -52,7 +52,7 @@
     let is_own = |node: &&DirectoryNode| Some(node.failure_domain.as_str()) == caller_domain;
     let alive: Vec<&DirectoryNode> =
         nodes.iter().filter(|node| node.state == MemberState::Alive).collect();
-    let largest = largest_cpu(nodes);
+    let largest = max_cpu_millis(nodes);
     let is_large = |node: &&DirectoryNode| is_large(node, largest);
     let choose = |is_wanted: &dyn Fn(&&DirectoryNode) -> bool| {
         alive.iter().copied().filter(is_wanted).collect::<Vec<&DirectoryNode>>()
@@ -69,7 +69,7 @@
         let usable = [MemberState::Alive, MemberState::Suspect];
         nodes.iter().filter(|node| usable.contains(&node.state)).collect()
     });
-    let elsewhere = elsewhere(&chosen, &choices[1..], caller_domain);
+    let elsewhere = other_domain_node(&chosen, &choices[1..], caller_domain);
     let chosen = chosen.into_iter().take(MAX_ADDRESSES - 1).chain(elsewhere);
     chosen.map(|node| node.address.clone()).collect()
 }
@@ -78,7 +78,7 @@
 ///
 /// Callers keep an answer for seconds. If the domain is lost meanwhile, all that they know hang, and
 /// they are served again only once they have asked again.
-fn elsewhere<'a>(
+fn other_domain_node<'a>(
     chosen: &[&'a DirectoryNode],
     choices: &[Vec<&'a DirectoryNode>],
     caller_domain: Option<&str>,
@@ -98,8 +98,8 @@
 }
 
 /// How many nodes callers are sent to while nothing is wrong: the larger ones.
-pub fn count_large(nodes: &[DirectoryNode]) -> usize {
-    let largest = largest_cpu(nodes);
+pub fn count_large_nodes(nodes: &[DirectoryNode]) -> usize {
+    let largest = max_cpu_millis(nodes);
     nodes.iter().filter(|node| is_large(node, largest)).count()
 }
 
@@ -113,7 +113,7 @@
     2 * cpu_millis >= largest_millis
 }
 
-fn largest_cpu(nodes: &[DirectoryNode]) -> u32 {
+fn max_cpu_millis(nodes: &[DirectoryNode]) -> u32 {
     let alive = nodes.iter().filter(|node| node.state == MemberState::Alive);
     alive.map(|node| node.cpu_millis).max().unwrap_or(0)
 }
--- a/crates/sassafrasproxy-core/src/forward/callers/mod.rs
+++ b/crates/sassafrasproxy-core/src/forward/callers/mod.rs
@@ -6,12 +6,12 @@
 
 mod admission;
 mod caller_delays;
-mod come_back;
-mod crash_watch;
 mod directory;
+mod request_quarantine;
+mod retry_delay;
 
 pub use self::admission::{Admission, admit};
-pub use self::caller_delays::{CallerDelays, CallerTime};
-pub use self::come_back::come_back_ms;
-pub use self::crash_watch::{CrashReport, CrashWatch};
-pub use self::directory::{DirectoryNode, count_large, directory_addresses, is_large_cpu};
+pub use self::caller_delays::{CallerDeadline, CallerDelayEstimator};
+pub use self::directory::{DirectoryNode, count_large_nodes, directory_addresses, is_large_cpu};
+pub use self::request_quarantine::{CrashReport, RequestQuarantine};
+pub use self::retry_delay::retry_delay_ms;
--- a/crates/sassafrasproxy-core/src/forward/callers/crash_watch.rs
+++ b/crates/sassafrasproxy-core/src/forward/callers/request_quarantine.rs
@@ -8,14 +8,14 @@
 ///
 /// One replica may die under a request by chance, and two under a query over many shards when a
 /// failure domain goes; a third time is the request's doing.
-const REPORTS_TO_REFUSE: usize = 3;
+const MIN_CRASH_REPORTS: usize = 3;
 
 /// How long a report counts, in microseconds: a caller that sends such a request again does so
 /// within seconds, and replicas need some to be back.
-const REPORT_LIFE_US: u64 = 30_000_000;
+const REPORT_TTL_US: u64 = 30_000_000;
 
 /// How many requests are watched at a time.
-const MAX_WATCHED: usize = 1_024;
+const MAX_TRACKED_REQUESTS: usize = 1_024;
 
 /// One replica's death under a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
@@ -25,7 +25,7 @@
     pub fingerprint: u64,
     /// Tells this death from others: a hash of the attempt, and of the replica where an attempt
     /// is sent to one replica at a time.
-    pub death: u64,
+    pub crash_id: u64,
 }
 
 impl CrashReport {
@@ -44,8 +44,8 @@
     /// A query over shards runs on many replicas at once, which may die together for another
     /// reason: all deaths under one of its attempts count once. So `replica` is empty then.
     pub fn new(fingerprint: u64, attempt_id: &str, replica: &str) -> Self {
-        let death = xxh3_64(attempt_id.as_bytes()) ^ xxh3_64(replica.as_bytes()).rotate_left(1);
-        Self { fingerprint, death }
+        let crash_id = xxh3_64(attempt_id.as_bytes()) ^ xxh3_64(replica.as_bytes()).rotate_left(1);
+        Self { fingerprint, crash_id }
     }
 }
 
@@ -55,29 +55,31 @@
 /// down. It shows as a connection that breaks off under the request while new connections to the
 /// replica are refused. Reports go to all nodes at once, so it holds wherever the caller asks.
 #[derive(Debug, Clone, Default)]
-pub struct CrashWatch {
+pub struct RequestQuarantine {
     /// For each request, its reports and when they expire.
-    reports: IndexMap<u64, IndexMap<u64, u64>>,
+    expiries_us: IndexMap<u64, IndexMap<u64, u64>>,
 }
 
-impl CrashWatch {
+impl RequestQuarantine {
     /// Notes a report of this node's own or of a peer's; returns whether it is news.
-    pub fn note(&mut self, now_us: u64, report: CrashReport) -> bool {
-        if self.reports.len() >= MAX_WATCHED && !self.reports.contains_key(&report.fingerprint) {
-            self.reports.shift_remove_index(0);
+    pub fn add_report(&mut self, now_us: u64, report: CrashReport) -> bool {
+        if self.expiries_us.len() >= MAX_TRACKED_REQUESTS
+            && !self.expiries_us.contains_key(&report.fingerprint)
+        {
+            self.expiries_us.shift_remove_index(0);
         }
-        let deaths = self.reports.entry(report.fingerprint).or_default();
-        deaths.insert(report.death, now_us + REPORT_LIFE_US).is_none()
+        let deaths = self.expiries_us.entry(report.fingerprint).or_default();
+        deaths.insert(report.crash_id, now_us + REPORT_TTL_US).is_none()
     }
 
     /// Whether a request is refused.
-    pub fn is_refused(&mut self, now_us: u64, fingerprint: u64) -> bool {
-        let Some(deaths) = self.reports.get_mut(&fingerprint) else { return false };
+    pub fn is_quarantined(&mut self, now_us: u64, fingerprint: u64) -> bool {
+        let Some(deaths) = self.expiries_us.get_mut(&fingerprint) else { return false };
         deaths.retain(|_, expires_us| *expires_us > now_us);
         if deaths.is_empty() {
-            self.reports.shift_remove(&fingerprint);
+            self.expiries_us.shift_remove(&fingerprint);
             return false;
         }
-        deaths.len() >= REPORTS_TO_REFUSE
+        deaths.len() >= MIN_CRASH_REPORTS
     }
 }
--- a/crates/sassafrasproxy-core/src/forward/mod.rs
+++ b/crates/sassafrasproxy-core/src/forward/mod.rs
@@ -9,13 +9,13 @@
 //! `rollout` moves a service to a new version of its replicas.
 
 mod callers;
-mod placement;
 mod registry;
 mod rollout;
+mod routing;
 mod sending;
 
 pub use self::callers::*;
-pub use self::placement::*;
 pub use self::registry::*;
 pub use self::rollout::*;
+pub use self::routing::*;
 pub use self::sending::*;
--- a/crates/sassafrasproxy-core/src/forward/registry/catalogue.rs
+++ b/crates/sassafrasproxy-core/src/forward/registry/catalogue.rs
@@ -22,7 +22,7 @@
     /// The replicas that may be used, by id.
     pub replicas: IndexMap<EcoString, CatalogueReplica>,
     /// What this node may send to versions on trial, by service.
-    pub trials: IndexMap<EcoString, TrialGrant>,
+    pub trial_grants: IndexMap<EcoString, TrialGrant>,
 }
 
 /// One replica of the catalogue.
@@ -31,16 +31,16 @@
     /// Its entry.
     pub entry: Arc<ReplicaEntry>,
     /// When this node took the entry in, in microseconds of the node's clock.
-    pub seen_us: u64,
+    pub received_us: u64,
     /// Whether it may get new work.
-    pub is_open: bool,
+    pub is_eligible: bool,
     /// Whether that is only what the trial of its version allows.
     pub is_on_trial: bool,
 }
 
 impl CatalogueReplica {
     /// A replica that may get any work.
-    pub fn open(entry: ReplicaEntry, seen_us: u64) -> Self {
-        Self { entry: Arc::new(entry), seen_us, is_open: true, is_on_trial: false }
+    pub fn eligible(entry: ReplicaEntry, received_us: u64) -> Self {
+        Self { entry: Arc::new(entry), received_us, is_eligible: true, is_on_trial: false }
     }
 }
--- a/crates/sassafrasproxy-core/src/forward/registry/datagram.rs
+++ b/crates/sassafrasproxy-core/src/forward/registry/datagram.rs
@@ -19,42 +19,42 @@
     /// What it is for.
     pub kind: DatagramKind,
     /// Who sends it.
-    pub from: Sender,
+    pub sender: DatagramSender,
     /// A hash over the sender's members that are not dead, to notice a difference.
     pub members_hash: u64,
     /// The newest revision of the store that the sender has heard of.
-    pub newest: Newest,
+    pub latest: LatestRevision,
     /// Whether the store turns the sender away.
-    pub is_store_away: bool,
+    pub is_store_unavailable: bool,
     /// Deaths of replicas under requests that were reported lately.
-    pub crashes: Vec<CrashReport>,
+    pub crash_reports: Vec<CrashReport>,
     /// Roll-outs that were stopped lately, by the store's revision of their orders.
     pub stopped_rollouts: Vec<u64>,
     /// What the sender has counted in trials of versions, for the node that decides.
-    pub trials: Vec<TrialReport>,
+    pub trial_reports: Vec<TrialReport>,
     /// Hashes over a part of the sender's members, while the two differ.
     pub digests: Option<Digests>,
     /// What the receiver may not know of members.
-    pub news: Vec<MemberNews>,
+    pub updates: Vec<GossipUpdate>,
 }
 
 impl PeerDatagram {
     /// The bytes to send.
     pub fn encode(&self) -> Result<Vec<u8>, DatagramError> {
-        postcard::to_extend(self, vec![FORMAT]).map_err(DatagramError::Unwritable)
+        postcard::to_extend(self, vec![FORMAT]).map_err(DatagramError::EncodeFailed)
     }
 
     /// Reads the bytes of a datagram.
     pub fn decode(bytes: &[u8]) -> Result<Self, DatagramError> {
         match bytes.split_first() {
-            Some((&FORMAT, body)) => postcard::from_bytes(body).map_err(DatagramError::Damaged),
-            Some((&format, _)) => Err(DatagramError::OtherFormat { format }),
+            Some((&FORMAT, body)) => postcard::from_bytes(body).map_err(DatagramError::Malformed),
+            Some((&format, _)) => Err(DatagramError::UnsupportedFormat { format }),
             None => Err(DatagramError::Empty),
         }
     }
 
     /// Adds news until the datagram is full.
-    pub fn fill(&mut self, news: impl IntoIterator<Item = MemberNews>) {
+    pub fn fill(&mut self, news: impl IntoIterator<Item = GossipUpdate>) {
         // The format's byte, and two for a longer count of news.
         let mut length = 3 + encoded_len(self);
         for one in news {
@@ -62,7 +62,7 @@
             if length > MAX_DATAGRAM_BYTES {
                 return;
             }
-            self.news.push(one);
+            self.updates.push(one);
         }
     }
 }
@@ -75,16 +75,16 @@
     Empty,
     /// It is of another version of the program, or of another program.
     #[error("the datagram has format {format}, not {FORMAT}; do all nodes run this version?")]
-    OtherFormat {
+    UnsupportedFormat {
         /// The first byte.
         format: u8,
     },
     /// It begins like one of this version and is none.
     #[error("the datagram is damaged: {0}; the sender will try again")]
-    Damaged(#[source] postcard::Error),
+    Malformed(#[source] postcard::Error),
     /// It cannot be written.
     #[error("the datagram cannot be written: {0}; report this as a fault")]
-    Unwritable(#[source] postcard::Error),
+    EncodeFailed(#[source] postcard::Error),
 }
 
 /// What a datagram is for, in the order of an exchange.
@@ -125,7 +125,7 @@
 /// The sender of a datagram, as it sees itself.
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
-pub struct Sender {
+pub struct DatagramSender {
     /// Its name.
     pub node: EcoString,
     /// Raised only by itself.
@@ -140,7 +140,7 @@
 /// then: a node whose watch went silent must know within seconds that there is more.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
-pub struct Newest {
+pub struct LatestRevision {
     /// The revision.
     pub revision: u64,
     /// The peer address of a node that follows the store so far.
@@ -150,11 +150,11 @@
 /// News on one member.
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
-pub enum MemberNews {
+pub enum GossipUpdate {
     /// Everything on a member that the receiver may not know.
-    Whole(WholeMember),
+    Full(CompactMember),
     /// The state of a member that the receiver knows.
-    Brief {
+    StateOnly {
         /// The hash of its name.
         name_hash: u64,
         /// Its incarnation.
@@ -164,15 +164,15 @@
     },
 }
 
-impl MemberNews {
+impl GossipUpdate {
     /// Everything on a member.
-    pub fn whole(member: &Member) -> Self {
-        Self::Whole(WholeMember::new(&member.as_update()))
+    pub fn full(member: &Member) -> Self {
+        Self::Full(CompactMember::new(&member.to_update()))
     }
 
     /// The state of a member.
-    pub fn brief(member: &Member) -> Self {
-        Self::Brief {
+    pub fn state_only(member: &Member) -> Self {
+        Self::StateOnly {
             name_hash: member.name_hash,
             incarnation: member.incarnation,
             state: member.state,
@@ -183,26 +183,26 @@
 /// A member whose addresses are shortened by what they share.
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
-pub struct WholeMember {
+pub struct CompactMember {
     node: EcoString,
     failure_domain: EcoString,
     peer_address: EcoString,
-    address: Shortened,
-    relay_address: Shortened,
+    address: PrefixCompressed,
+    relay_address: PrefixCompressed,
     cpu_millis: u32,
     state: MemberState,
     incarnation: u64,
 }
 
-impl WholeMember {
+impl CompactMember {
     /// Shortens a member.
     pub fn new(update: &MemberUpdate) -> Self {
         Self {
             node: update.node.clone(),
             failure_domain: update.failure_domain.clone(),
             peer_address: update.peer_address.clone(),
-            address: Shortened::new(&update.address, &update.peer_address),
-            relay_address: Shortened::new(&update.relay_address, &update.peer_address),
+            address: PrefixCompressed::new(&update.address, &update.peer_address),
+            relay_address: PrefixCompressed::new(&update.relay_address, &update.peer_address),
             cpu_millis: update.cpu_millis,
             state: update.state,
             incarnation: update.incarnation,
@@ -210,7 +210,7 @@
     }
 
     /// The member as it was.
-    pub fn update(&self) -> MemberUpdate {
+    pub fn to_update(&self) -> MemberUpdate {
         MemberUpdate {
             node: self.node.clone(),
             peer_address: self.peer_address.clone(),
@@ -227,22 +227,22 @@
 /// A text that begins like another one.
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
-struct Shortened {
+struct PrefixCompressed {
     /// How many characters they share.
-    shared: u8,
-    rest: EcoString,
+    prefix_chars: u8,
+    suffix: EcoString,
 }
 
-impl Shortened {
+impl PrefixCompressed {
     fn new(text: &str, other: &str) -> Self {
         let pairs = text.chars().zip(other.chars()).take(usize::from(u8::MAX));
         let shared = pairs.take_while(|(one, two)| one == two).count();
-        Self { shared: shared as u8, rest: text.chars().skip(shared).collect() }
+        Self { prefix_chars: shared as u8, suffix: text.chars().skip(shared).collect() }
     }
 
     /// The text; what a damaged count claims beyond the other text is left out.
     fn expand(&self, other: &str) -> EcoString {
-        other.chars().take(usize::from(self.shared)).chain(self.rest.chars()).collect()
+        other.chars().take(usize::from(self.prefix_chars)).chain(self.suffix.chars()).collect()
     }
 }
 
--- a/crates/sassafrasproxy-core/src/forward/registry/discovery/message.rs
+++ b/crates/sassafrasproxy-core/src/forward/registry/discovery/events.rs
@@ -2,7 +2,7 @@
 
 use ecow::EcoString;
 
-use crate::{Fact, RolloutPhase, Subject};
+use crate::{RegistryEntry, RegistryKey, RolloutPhase};
 
 /// What discovery takes in.
 #[derive(Debug, Clone, PartialEq)]
@@ -13,25 +13,25 @@
         revision: u64,
     },
     /// A fact was listed or written.
-    Seen {
+    EntrySeen {
         /// The fact.
-        fact: Fact,
+        entry: RegistryEntry,
         /// The store's revision of it.
         revision: u64,
     },
     /// A subject has no readable fact any more.
-    Gone {
+    EntryRemoved {
         /// The subject.
-        subject: Subject,
+        key: RegistryKey,
         /// The store's revision of its removal.
         revision: u64,
     },
     /// The list ended: what it did not name is gone.
     ListEnded,
     /// A peer that follows the store further told all it knows.
-    PeerFacts {
+    PeerEntries {
         /// Its facts, each with its revision in the store.
-        facts: Vec<(Fact, u64)>,
+        entries: Vec<(RegistryEntry, u64)>,
         /// How far the peer follows the store.
         revision: u64,
     },
@@ -42,70 +42,70 @@
     },
     /// What follows comes from a peer that knows more of the store: the store serves somebody, so
     /// entries did not lapse for all. How long those that did may take, the peer says itself.
-    PeerTells,
+    PeerSyncStarted,
     /// A roll-out was stopped, by the store's revision of its order.
     RolloutStopped {
         /// The revision.
         order_revision: u64,
     },
     /// The store stopped answering.
-    StoreLost,
+    StoreUnavailable,
     /// The store answers again.
-    StoreBack,
+    StoreRecovered,
     /// Time has passed.
     Tick,
 }
 
 /// What discovery did that is worth a log line.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum DiscoveryNote {
+pub enum DiscoveryLogEvent {
     /// A configuration came into force.
-    InForce {
+    ConfigurationActivated {
         /// Its version.
         version: u64,
     },
     /// An older configuration was left aside.
-    OlderIgnored {
+    OlderConfigurationIgnored {
         /// Its version.
         version: u64,
         /// The version in force.
         in_force: u64,
     },
     /// A replica came, or changed.
-    Replica {
+    ReplicaUpdated {
         /// Its id.
         id: EcoString,
         /// Whether it is about to leave.
         is_draining: bool,
     },
     /// A replica's entry is gone.
-    ReplicaGone {
+    ReplicaEntryRemoved {
         /// Its id.
         id: EcoString,
         /// Whether it is kept for a while because the store was away.
         is_held: bool,
     },
     /// An entry that a replica wrote before the one that is known was left aside.
-    OldEntry {
+    StaleEntryIgnored {
         /// The replica's id.
         id: EcoString,
     },
     /// A failure domain was taken out or brought back.
-    Domain {
+    DomainChanged {
         /// Its name.
         domain: EcoString,
         /// Whether it is out now.
         is_out: bool,
     },
     /// Operators order a roll-out, or take the order back.
-    RolloutOrder {
+    RolloutOrderChanged {
         /// The service.
         service: EcoString,
         /// The version to move to; `None` if the order is gone.
         target_version: Option<EcoString>,
     },
     /// A roll-out went a step on.
-    RolloutStep {
+    RolloutAdvanced {
         /// The service.
         service: EcoString,
         /// The version to move to.
--- a/crates/sassafrasproxy-core/src/forward/registry/discovery/replica.rs
+++ b/crates/sassafrasproxy-core/src/forward/registry/discovery/known_replica.rs
@@ -6,14 +6,14 @@
 
 /// How far apart two words of a replica on the end of its cold time may lie without being news, in
 /// microseconds: entries reach nodes up to some tenths of a second late.
-const COLD_SLACK_US: u64 = 500_000;
+const COLD_END_TOLERANCE_US: u64 = 500_000;
 
 /// A replica whose entry is listed, or was until lately.
 #[derive(Debug, Clone)]
 pub struct KnownReplica {
     pub entry: Arc<ReplicaEntry>,
     pub revision: u64,
-    pub seen_us: u64,
+    pub received_us: u64,
     /// Until when the catalogue says that it is cold.
     pub cold_until_us: u64,
     pub is_listed: bool,
@@ -25,7 +25,7 @@
     /// Whether an entry says of the replica what is known already.
     ///
     /// A cold replica's entry changes with each heartbeat, as less of its time is left.
-    pub fn is_heartbeat(&self, now_us: u64, entry: &ReplicaEntry) -> bool {
+    pub fn is_unchanged_by(&self, now_us: u64, entry: &ReplicaEntry) -> bool {
         let same = ReplicaEntry {
             sequence: entry.sequence,
             cold_for_ms: entry.cold_for_ms,
@@ -34,7 +34,7 @@
         let said_us = cold_until_us(now_us, entry);
         // Warm before, and warm now.
         let is_warm = self.cold_until_us <= now_us && entry.cold_for_ms == 0;
-        same == *entry && (is_warm || said_us.abs_diff(self.cold_until_us) <= COLD_SLACK_US)
+        same == *entry && (is_warm || said_us.abs_diff(self.cold_until_us) <= COLD_END_TOLERANCE_US)
     }
 }
 
--- a/crates/sassafrasproxy-core/src/forward/registry/facts.rs
+++ b/crates/sassafrasproxy-core/src/forward/registry/entries.rs
@@ -11,12 +11,12 @@
 
 /// How many changes are remembered for peers: some times as many as a fleet's replicas, so that
 /// a whole set of shards that comes and another that goes are still told as changes.
-const MAX_CHANGES: usize = 2_048;
+const MAX_LOGGED_CHANGES: usize = 2_048;
 
 /// Something that stands in the store.
 #[derive(Debug, Clone, PartialEq)]
 #[derive(Serialize, Deserialize)]
-pub enum Fact {
+pub enum RegistryEntry {
     /// The newest configuration.
     Configuration(RouteConfiguration),
     /// A failure domain is out.
@@ -45,7 +45,7 @@
 /// What a fact is about.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 #[derive(Serialize, Deserialize)]
-pub enum Subject {
+pub enum RegistryKey {
     /// The configuration.
     Configuration,
     /// Whether a failure domain is out.
@@ -60,16 +60,16 @@
     RolloutRecord(EcoString),
 }
 
-impl Fact {
+impl RegistryEntry {
     /// What the fact is about.
-    pub fn subject(&self) -> Subject {
+    pub fn key(&self) -> RegistryKey {
         match self {
-            Self::Configuration(_) => Subject::Configuration,
-            Self::DomainOut(domain) => Subject::DomainOut(domain.clone()),
-            Self::Replica(entry) => Subject::Replica(entry.id.clone()),
-            Self::Node(node) => Subject::Node(node.member.node.clone()),
-            Self::RolloutOrder(order) => Subject::RolloutOrder(order.service.clone()),
-            Self::RolloutRecord(record) => Subject::RolloutRecord(record.service.clone()),
+            Self::Configuration(_) => RegistryKey::Configuration,
+            Self::DomainOut(domain) => RegistryKey::DomainOut(domain.clone()),
+            Self::Replica(entry) => RegistryKey::Replica(entry.id.clone()),
+            Self::Node(node) => RegistryKey::Node(node.member.node.clone()),
+            Self::RolloutOrder(order) => RegistryKey::RolloutOrder(order.service.clone()),
+            Self::RolloutRecord(record) => RegistryKey::RolloutRecord(record.service.clone()),
         }
     }
 }
@@ -78,31 +78,31 @@
 #[derive(Debug, Default)]
 pub struct ChangeLog {
     /// Oldest first, by the store's revision of the change.
-    changes: VecDeque<(u64, Subject)>,
+    changes: VecDeque<(u64, RegistryKey)>,
     /// The revision from which on the log is complete; `None` before the first list.
-    complete_after: Option<u64>,
+    complete_after_revision: Option<u64>,
 }
 
 /// What changed after a revision.
 #[derive(Debug, Clone, PartialEq)]
 #[derive(Serialize, Deserialize)]
-pub struct FactChanges {
+pub struct RegistryChanges {
     /// Facts that came or changed, each with its revision.
-    pub facts: Vec<(Fact, u64)>,
+    pub updated: Vec<(RegistryEntry, u64)>,
     /// Subjects that are gone, each with the revision of its removal.
-    pub gone: Vec<(Subject, u64)>,
+    pub removed: Vec<(RegistryKey, u64)>,
 }
 
 impl ChangeLog {
     /// An empty log that is complete after a revision.
-    pub fn complete_after(revision: u64) -> Self {
-        Self { changes: VecDeque::new(), complete_after: Some(revision) }
+    pub fn starting_after(revision: u64) -> Self {
+        Self { changes: VecDeque::new(), complete_after_revision: Some(revision) }
     }
 
     /// The subjects that changed after a revision, each with its last change; `None` if that is
     /// not remembered.
-    pub fn after(&self, revision: u64) -> Option<IndexMap<&Subject, u64>> {
-        if self.complete_after? > revision {
+    pub fn keys_changed_after(&self, revision: u64) -> Option<IndexMap<&RegistryKey, u64>> {
+        if self.complete_after_revision? > revision {
             return None;
         }
         let after = self.changes.iter().filter(|(at, _)| *at > revision);
@@ -110,10 +110,10 @@
     }
 
     /// Notes a change.
-    pub fn add(&mut self, revision: u64, subject: Subject) {
-        if self.changes.len() >= MAX_CHANGES {
+    pub fn record(&mut self, revision: u64, subject: RegistryKey) {
+        if self.changes.len() >= MAX_LOGGED_CHANGES {
             let oldest = self.changes.pop_front().map(|(revision, _)| revision);
-            self.complete_after = self.complete_after.max(oldest);
+            self.complete_after_revision = self.complete_after_revision.max(oldest);
         }
         self.changes.push_back((revision, subject));
     }
--- a/crates/sassafrasproxy-core/src/forward/registry/mod.rs
+++ b/crates/sassafrasproxy-core/src/forward/registry/mod.rs
@@ -4,26 +4,26 @@
 //! `Discovery` keeps what the facts say and what an outage of the store leaves open, and makes the
 //! catalogue that all other decisions read.
 
+mod broadcast_queue;
 mod catalogue;
 mod datagram;
 mod discovery;
-mod facts;
-mod following;
+mod entries;
 mod gossip;
-mod passed_on;
-mod probes;
-mod recent_news;
+mod probe_tracker;
+mod recent_updates;
 mod rollouts;
+mod source_selector;
 mod store_sync;
 
 pub use self::catalogue::{Catalogue, CatalogueReplica};
 pub use self::datagram::{
-    DatagramError, DatagramKind, MAX_DATAGRAM_BYTES, MemberNews, Newest, PeerDatagram, Sender,
-    WholeMember,
+    CompactMember, DatagramError, DatagramKind, DatagramSender, GossipUpdate, LatestRevision,
+    MAX_DATAGRAM_BYTES, PeerDatagram,
 };
-pub use self::discovery::{Discovery, DiscoveryEvent, DiscoveryNote};
-pub use self::facts::{Fact, FactChanges, NodeRegistration, Subject};
-pub use self::following::{Follow, StartFrom};
-pub use self::gossip::{Gossip, GossipPolicy, MemberNote, PeerSend};
-pub use self::rollouts::RolloutScope;
-pub use self::store_sync::{StoreOutcome, StoreStep, StoreSync, StoreSyncPolicy};
+pub use self::discovery::{Discovery, DiscoveryEvent, DiscoveryLogEvent};
+pub use self::entries::{NodeRegistration, RegistryChanges, RegistryEntry, RegistryKey};
+pub use self::gossip::{Gossip, GossipPolicy, MemberLogEvent, OutgoingDatagram};
+pub use self::rollouts::RolloutParticipant;
+pub use self::source_selector::{BootstrapSource, SyncSource};
+pub use self::store_sync::{StoreCallOutcome, StoreStep, StoreSync, StoreSyncPolicy};
--- a/crates/sassafrasproxy-core/src/forward/registry/probes.rs
+++ b/crates/sassafrasproxy-core/src/forward/registry/probe_tracker.rs
@@ -8,38 +8,38 @@
 
 /// The probes under way, by member.
 #[derive(Debug, Default)]
-pub struct Probes {
-    waiting: IndexMap<EcoString, Probe>,
+pub struct ProbeTracker {
+    pending: IndexMap<EcoString, Probe>,
 }
 
 #[derive(Debug, Clone, Copy, Default)]
 struct Probe {
     /// When the last probe was sent; `None` once it counted as missed.
     sent_us: Option<u64>,
-    misses: u32,
+    missed: u32,
 }
 
-impl Probes {
+impl ProbeTracker {
     /// Notes that a member is probed.
-    pub fn send(&mut self, now_us: u64, node: EcoString) {
-        self.waiting.entry(node).or_default().sent_us.get_or_insert(now_us);
+    pub fn record_sent(&mut self, now_us: u64, node: EcoString) {
+        self.pending.entry(node).or_default().sent_us.get_or_insert(now_us);
     }
 
     /// Notes that a member was heard.
-    pub fn hear(&mut self, node: &str) {
-        self.waiting.shift_remove(node);
+    pub fn record_heard(&mut self, node: &str) {
+        self.pending.shift_remove(node);
     }
 
     /// Probes members that missed their last probe once more, and returns where they are.
     ///
     /// The next probe of the same member comes a whole round later, and a lost failure domain
     /// would be named to callers all the while.
-    pub fn send_again(&mut self, now_us: u64, members: &MemberTable) -> IndexSet<EcoString> {
+    pub fn retry_missed(&mut self, now_us: u64, members: &MemberTable) -> IndexSet<EcoString> {
         let mut targets = IndexSet::new();
-        for (node, probe) in &mut self.waiting {
+        for (node, probe) in &mut self.pending {
             let Some(member) = members.member(node) else { continue };
             let is_probed = matches!(member.state, MemberState::Alive | MemberState::Leaving);
-            if probe.misses > 0 && probe.sent_us.is_none() && is_probed {
+            if probe.missed > 0 && probe.sent_us.is_none() && is_probed {
                 probe.sent_us = Some(now_us);
                 targets.insert(member.peer_address.clone());
             }
@@ -48,18 +48,23 @@
     }
 
     /// Takes out the members that did not answer so many probes in a row in time.
-    pub fn take_silent(&mut self, now_us: u64, answer_us: u64, misses: u32) -> Vec<EcoString> {
+    pub fn take_unresponsive(
+        &mut self,
+        now_us: u64,
+        answer_us: u64,
+        misses: u32,
+    ) -> Vec<EcoString> {
         let mut silent = Vec::new();
-        for (node, probe) in &mut self.waiting {
+        for (node, probe) in &mut self.pending {
             if probe.sent_us.is_some_and(|sent_us| now_us >= sent_us + answer_us) {
                 probe.sent_us = None;
-                probe.misses += 1;
+                probe.missed += 1;
             }
-            if probe.misses >= misses {
+            if probe.missed >= misses {
                 silent.push(node.clone());
             }
         }
-        self.waiting.retain(|_, probe| probe.misses < misses);
+        self.pending.retain(|_, probe| probe.missed < misses);
         silent
     }
 }
--- a/crates/sassafrasproxy-core/src/forward/registry/store_sync.rs
+++ b/crates/sassafrasproxy-core/src/forward/registry/store_sync.rs
@@ -10,27 +10,27 @@
     ///
     /// Bounds how long a store that took the call and never answers it stays unnoticed: its
     /// connection still answers keep-alive probes, and if all watches hang no peer knows more.
-    pub watch_wait_ms: u64,
+    pub watch_timeout_ms: u64,
     /// How long after a change the next watch starts, so that changes share a call.
     ///
     /// Of the three seconds within which a change must be in force. Shorter than two comparisons
     /// with peers are apart, so that a node which pauses does not look cut off.
-    pub gather_us: u64,
+    pub coalesce_delay_us: u64,
     /// The pause after a first failure; doubles with each further one.
-    pub min_pause_us: u64,
+    pub min_backoff_us: u64,
     /// The longest pause after failures.
     ///
     /// With all nodes of a fleet this stays far below the store's rate of reads.
-    pub max_pause_us: u64,
+    pub max_backoff_us: u64,
 }
 
 impl Default for StoreSyncPolicy {
     fn default() -> Self {
         Self {
-            watch_wait_ms: 4_000,
-            gather_us: 400_000,
-            min_pause_us: 100_000,
-            max_pause_us: 800_000,
+            watch_timeout_ms: 4_000,
+            coalesce_delay_us: 400_000,
+            min_backoff_us: 100_000,
+            max_backoff_us: 800_000,
         }
     }
 }
@@ -59,23 +59,23 @@
 
 /// How a call went.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum StoreOutcome {
+pub enum StoreCallOutcome {
     /// A page of the list came.
     Page {
         /// The store's revision.
         revision: u64,
         /// The page's last key, if another page follows.
-        next_after: Option<ecow::EcoString>,
+        next_after_key: Option<ecow::EcoString>,
     },
     /// A watch came back.
-    Watched {
+    WatchCompleted {
         /// The revision to go on from.
         revision: u64,
         /// Whether it brought changes.
         has_changes: bool,
     },
     /// The history is gone.
-    HistoryGone,
+    HistoryCompacted,
     /// The call failed.
     Failed,
 }
@@ -86,7 +86,7 @@
     policy: StoreSyncPolicy,
     rng: StdRng,
     phase: Phase,
-    failures: u32,
+    consecutive_failures: u32,
     pause_until_us: u64,
 }
 
@@ -109,13 +109,13 @@
             policy,
             rng: StdRng::seed_from_u64(seed),
             phase: Phase::Listing { after_key: None, first_revision: None },
-            failures: 0,
+            consecutive_failures: 0,
             pause_until_us: 0,
         }
     }
 
     /// What to do now.
-    pub fn next(&self, now_us: u64) -> StoreStep {
+    pub fn next_step(&self, now_us: u64) -> StoreStep {
         if now_us < self.pause_until_us {
             return StoreStep::Pause { until_us: self.pause_until_us };
         }
@@ -123,33 +123,33 @@
             Phase::Listing { after_key, .. } => StoreStep::List { after_key: after_key.clone() },
             Phase::Watching { after_revision } => StoreStep::Watch {
                 after_revision: *after_revision,
-                wait_ms: self.policy.watch_wait_ms,
+                wait_ms: self.policy.watch_timeout_ms,
             },
         }
     }
 
     /// Takes the end of a call in; returns whether a whole list has just been read.
-    pub fn note(&mut self, now_us: u64, outcome: StoreOutcome) -> bool {
+    pub fn record_outcome(&mut self, now_us: u64, outcome: StoreCallOutcome) -> bool {
         match outcome {
-            StoreOutcome::Page { revision, next_after } => {
-                self.failures = 0;
-                return self.turn_page(revision, next_after);
+            StoreCallOutcome::Page { revision, next_after_key: next_after } => {
+                self.consecutive_failures = 0;
+                return self.record_page(revision, next_after);
             }
-            StoreOutcome::Watched { revision, has_changes } => {
-                self.failures = 0;
+            StoreCallOutcome::WatchCompleted { revision, has_changes } => {
+                self.consecutive_failures = 0;
                 self.phase = Phase::Watching { after_revision: revision };
                 if has_changes {
-                    self.pause_until_us = now_us + self.policy.gather_us;
+                    self.pause_until_us = now_us + self.policy.coalesce_delay_us;
                 }
             }
-            StoreOutcome::HistoryGone => self.restart(),
-            StoreOutcome::Failed => {
+            StoreCallOutcome::HistoryCompacted => self.restart_list(),
+            StoreCallOutcome::Failed => {
                 // A list that broke off starts anew: its first page is no longer the newest.
                 if matches!(self.phase, Phase::Listing { .. }) {
-                    self.restart();
+                    self.restart_list();
                 }
-                self.pause_until_us = now_us + self.pause_us();
-                self.failures += 1;
+                self.pause_until_us = now_us + self.backoff_us();
+                self.consecutive_failures += 1;
             }
         }
         false
@@ -159,7 +159,7 @@
     ///
     /// After a list of several pages this is the first page's: what changed while later pages
     /// were read comes by the watch only.
-    pub fn known_revision(&self) -> u64 {
+    pub fn synced_revision(&self) -> u64 {
         match self.phase {
             Phase::Listing { .. } => 0,
             Phase::Watching { after_revision } => after_revision,
@@ -167,18 +167,18 @@
     }
 
     /// Goes on from a revision up to which everything was learned elsewhere, in place of a list.
-    pub fn start_at(&mut self, revision: u64) {
+    pub fn resume_from(&mut self, revision: u64) {
         self.phase = Phase::Watching { after_revision: revision };
     }
 
     /// Notes that everything up to a revision was learned elsewhere; 0 if nothing was.
-    pub fn reach(&mut self, revision: u64) {
-        if revision > self.known_revision() {
-            self.start_at(revision);
+    pub fn advance_to(&mut self, revision: u64) {
+        if revision > self.synced_revision() {
+            self.resume_from(revision);
         }
     }
 
-    fn turn_page(&mut self, revision: u64, next_after: Option<ecow::EcoString>) -> bool {
+    fn record_page(&mut self, revision: u64, next_after: Option<ecow::EcoString>) -> bool {
         let known = match &self.phase {
             Phase::Listing { first_revision, .. } => *first_revision,
             Phase::Watching { .. } => None,
@@ -192,14 +192,14 @@
         is_last
     }
 
-    fn restart(&mut self) {
+    fn restart_list(&mut self) {
         self.phase = Phase::Listing { after_key: None, first_revision: None };
     }
 
     /// The pause after a failure, with jitter so that nodes do not come back all at once.
-    fn pause_us(&mut self) -> u64 {
-        let doubled = self.policy.min_pause_us << self.failures.min(8);
-        let pause_us = doubled.min(self.policy.max_pause_us);
+    fn backoff_us(&mut self) -> u64 {
+        let doubled = self.policy.min_backoff_us << self.consecutive_failures.min(8);
+        let pause_us = doubled.min(self.policy.max_backoff_us);
         self.rng.random_range(pause_us / 2..=pause_us)
     }
 }
--- a/crates/sassafrasproxy-core/src/forward/rollout/mod.rs
+++ b/crates/sassafrasproxy-core/src/forward/rollout/mod.rs
@@ -5,21 +5,21 @@
 //! (`TrialReport`). `VersionJudge` compares the versions; `RolloutDecider` promotes the new version
 //! or rolls it back. `service_versions` says which version a node may use at each moment.
 
-mod decider;
-mod judge;
+mod coordinator;
 mod order;
-mod report_pace;
+mod report_throttle;
 mod trial;
+mod trial_analysis;
 mod versions;
 
-pub use self::decider::{
-    RolloutDecider, RolloutEffect, RolloutNodes, RolloutNote, RolloutPolicy, RolloutState,
+pub use self::coordinator::{
+    RolloutCoordinator, RolloutEffect, RolloutLogEvent, RolloutNodes, RolloutPolicy, RolloutState,
     VersionReplicas,
 };
-pub use self::judge::{TrialVerdict, VersionJudge};
 pub use self::order::{RolloutOrder, RolloutPhase, RolloutRecord};
-pub use self::report_pace::ReportPace;
+pub use self::report_throttle::ReportThrottle;
 pub use self::trial::{
     RouteClass, Trial, TrialCount, TrialGrant, TrialOutcome, TrialReport, route_class,
 };
+pub use self::trial_analysis::{TrialAnalysis, TrialVerdict};
 pub use self::versions::{ServiceVersions, service_versions};
--- a/crates/sassafrasproxy-core/src/forward/rollout/trial.rs
+++ b/crates/sassafrasproxy-core/src/forward/rollout/trial.rs
@@ -7,7 +7,7 @@
 use xxhash_rust::xxh3::xxh3_64;
 
 /// From how many times its usual time on an answer counts as slow.
-const SLOW_TIMES: u64 = 2;
+const SLOW_FACTOR: u64 = 2;
 
 /// How much longer it must take besides, in microseconds: a new connection and the node's own work take
 /// some milliseconds whatever the version.
@@ -17,10 +17,10 @@
 const REPLICA_CLASSES: u64 = 256;
 
 /// From how many counts on the replicas share fewer classes, so that a report fits a datagram.
-const MANY_COUNTS: usize = 48;
+const MAX_FINE_COUNTS: usize = 48;
 
 /// In how many classes they are counted then.
-const FEW_REPLICA_CLASSES: u64 = 8;
+const COARSE_REPLICA_CLASSES: u64 = 8;
 
 /// In how many classes the routes to a service are counted.
 const ROUTE_CLASSES: u64 = 4;
@@ -70,9 +70,9 @@
     /// Whether the version is the one on trial.
     pub is_on_trial: bool,
     /// The class of the replicas; 0 for all of the version that is in use.
-    pub replicas: u8,
+    pub replica_class: u8,
     /// The class of the routes.
-    pub routes: RouteClass,
+    pub route_class: RouteClass,
     /// How many ended with an answer or a failure.
     pub ended: u32,
     /// How many of these failed.
@@ -99,14 +99,14 @@
     /// First sends to the service, whatever the version.
     requests: u64,
     /// Sends to the version on trial; never above `allowed`.
-    spent: u64,
+    trial_sends: u64,
     counts: IndexMap<(bool, u8, RouteClass), TrialCount>,
 }
 
 impl Trial {
     /// A trial in which nothing was sent.
     pub fn new(grant: TrialGrant, now_us: u64) -> Self {
-        Self { grant, started_us: now_us, requests: 0, spent: 0, counts: IndexMap::new() }
+        Self { grant, started_us: now_us, requests: 0, trial_sends: 0, counts: IndexMap::new() }
     }
 
     /// What this node may send.
@@ -116,26 +116,26 @@
 
     /// Whether one more request may go to the version on trial now.
     pub fn may_send(&self, now_us: u64) -> bool {
-        self.spent < self.allowed(now_us)
+        self.trial_sends < self.allowed_sends(now_us)
     }
 
     /// How many of this node's sends went to the version on trial.
-    pub fn sent(&self) -> u64 {
-        self.spent
+    pub fn trial_sends(&self) -> u64 {
+        self.trial_sends
     }
 
     /// Notes the first send of a request to the service.
-    pub fn note_request(&mut self) {
+    pub fn record_request(&mut self) {
         self.requests += 1;
     }
 
     /// Notes a send to the version on trial.
-    pub fn note_send(&mut self) {
-        self.spent += 1;
+    pub fn record_send(&mut self) {
+        self.trial_sends += 1;
     }
 
     /// Notes how a send ended whose usual time is `usual_us`.
-    pub fn note_end(
+    pub fn record_end(
         &mut self,
         replica: &ReplicaEntry,
         routes: RouteClass,
@@ -144,21 +144,21 @@
     ) {
         let (failed, slow) = match outcome {
             TrialOutcome::Answered { took_us } => {
-                (0, u32::from(took_us > SLOW_TIMES * usual_us + SLOW_SLACK_US))
+                (0, u32::from(took_us > SLOW_FACTOR * usual_us + SLOW_SLACK_US))
             }
             TrialOutcome::Failed => (1, 0),
             TrialOutcome::Unknown => return,
         };
         let is_on_trial = replica.version == self.grant.version;
-        let is_many = self.counts.len() >= MANY_COUNTS;
-        let classes = if is_many { FEW_REPLICA_CLASSES } else { REPLICA_CLASSES };
+        let is_many = self.counts.len() >= MAX_FINE_COUNTS;
+        let classes = if is_many { COARSE_REPLICA_CLASSES } else { REPLICA_CLASSES };
         let class = (xxh3_64(replica.id.as_bytes()) % classes) as u8;
         let replicas = if is_on_trial { class } else { 0 };
         let count = self.counts.entry((is_on_trial, replicas, routes)).or_default();
         *count = TrialCount {
             is_on_trial,
-            replicas,
-            routes,
+            replica_class: replicas,
+            route_class: routes,
             ended: count.ended + 1,
             failed: count.failed + failed,
             slow: count.slow + slow,
@@ -174,7 +174,7 @@
     }
 
     /// How many sends to the version on trial this node is allowed by now.
-    fn allowed(&self, now_us: u64) -> u64 {
+    fn allowed_sends(&self, now_us: u64) -> u64 {
         let TrialGrant { permits, ratio, spread_us, .. } = self.grant;
         let age_us = now_us.saturating_sub(self.started_us).min(spread_us);
         let later = u64::from(permits.saturating_sub(1));
--- a/crates/sassafrasproxy-core/src/forward/rollout/judge.rs
+++ b/crates/sassafrasproxy-core/src/forward/rollout/trial_analysis.rs
@@ -5,26 +5,26 @@
 use super::trial::{RouteClass, TrialCount, TrialReport};
 
 /// How strong the evidence against a version must be to roll it back, as the logarithm of the odds.
-const ROLL_BACK_SCORE: f64 = 5.5;
+const BAD_SCORE: f64 = 5.5;
 
 /// How strong it must be when no time is left to see more: what is in doubt is not promoted.
-const DOUBT_SCORE: f64 = 3.5;
+const DOUBTFUL_SCORE: f64 = 3.5;
 
 /// How weak it must be for a version to be promoted before that.
-const GOOD_SCORE: f64 = 2.0;
+const SUSPICIOUS_SCORE: f64 = 2.0;
 
 /// Which part of the evidence must come from other replicas than the worst, where there are others.
-const OTHERS_PART: f64 = 0.25;
+const MIN_OTHER_REPLICAS_FRACTION: f64 = 0.25;
 
 /// By how much a bad version fails more often, at least.
-const FAILS_MORE: f64 = 0.2;
+const MIN_FAILURE_RATE_INCREASE: f64 = 0.2;
 
 /// By how much a bad version is slow more often, at least.
-const SLOW_MORE: f64 = 0.6;
+const MIN_SLOW_RATE_INCREASE: f64 = 0.6;
 
 /// The least rates of failed and slow answers that count as usual.
-const MIN_FAILED: f64 = 0.02;
-const MIN_SLOW: f64 = 0.05;
+const MIN_FAILURE_RATE: f64 = 0.02;
+const MIN_SLOW_RATE: f64 = 0.05;
 
 /// So many ended sends weigh as much as the least rates, while few of the version in use are known.
 const PRIOR_SENDS: f64 = 20.0;
@@ -52,24 +52,24 @@
 /// bad, where the version in use tells what is usual at the same time. A sum never falls below 0,
 /// so a version that turns bad late is found as soon as one that is bad at once.
 #[derive(Debug, Clone, Default)]
-pub struct VersionJudge {
+pub struct TrialAnalysis {
     reports: IndexMap<String, TrialReport>,
-    usual: Usual,
+    baseline: BaselineCounts,
     all: Evidence,
-    by_route: IndexMap<RouteClass, Evidence>,
+    by_route_class: IndexMap<RouteClass, Evidence>,
     ended: u64,
 }
 
 /// The evidence of some sends, as a whole and by class of replicas.
 #[derive(Debug, Clone, Default)]
 struct Evidence {
-    whole: Score,
-    by_replicas: IndexMap<u8, Score>,
+    overall: CusumScore,
+    by_replica_class: IndexMap<u8, CusumScore>,
 }
 
 /// What ended in the version in use.
 #[derive(Debug, Clone, Copy, Default)]
-struct Usual {
+struct BaselineCounts {
     ended: f64,
     failed: f64,
     slow: f64,
@@ -77,26 +77,26 @@
 
 /// The evidence of one class, never below 0.
 #[derive(Debug, Clone, Copy, Default)]
-struct Score {
+struct CusumScore {
     failed: f64,
     slow: f64,
 }
 
-impl VersionJudge {
+impl TrialAnalysis {
     /// Takes a node's report in.
-    pub fn hear(&mut self, node: &str, report: &TrialReport) {
+    pub fn add_report(&mut self, node: &str, report: &TrialReport) {
         let before = self.reports.get(node).map_or_else(Vec::new, |known| known.counts.clone());
-        if total(&report.counts) < total(&before) {
+        if total_ended(&report.counts) < total_ended(&before) {
             // An older report that came late, or one of a later life of the node, which counts anew.
             return;
         }
         self.reports.insert(node.into(), report.clone());
-        let news = report.counts.iter().map(|count| since(count, &before));
+        let news = report.counts.iter().map(|count| count_increase(count, &before));
         let (on_trial, in_use): (Vec<_>, Vec<_>) = news.partition(|count| count.is_on_trial);
         for count in in_use {
-            self.usual.ended += f64::from(count.ended);
-            self.usual.failed += f64::from(count.failed);
-            self.usual.slow += f64::from(count.slow);
+            self.baseline.ended += f64::from(count.ended);
+            self.baseline.failed += f64::from(count.failed);
+            self.baseline.slow += f64::from(count.slow);
         }
         for count in on_trial {
             self.add(&count);
@@ -118,63 +118,73 @@
     /// The strongest evidence against a version that so many replicas have, as the logarithm of the
     /// odds.
     pub fn score(&self, replicas: u32) -> f64 {
-        let by_route = self.by_route.values().map(|evidence| evidence.strongest(replicas));
-        by_route.fold(self.all.strongest(replicas), f64::max)
+        let by_route = self.by_route_class.values().map(|evidence| evidence.max_score(replicas));
+        by_route.fold(self.all.max_score(replicas), f64::max)
     }
 
     /// What the counts say of a version that so many replicas have.
     pub fn verdict(&self, replicas: u32) -> TrialVerdict {
         match self.score(replicas) {
-            score if score >= ROLL_BACK_SCORE => TrialVerdict::Bad,
-            score if score >= DOUBT_SCORE => TrialVerdict::Doubtful,
-            score if score >= GOOD_SCORE => TrialVerdict::Suspicious,
+            score if score >= BAD_SCORE => TrialVerdict::Bad,
+            score if score >= DOUBTFUL_SCORE => TrialVerdict::Doubtful,
+            score if score >= SUSPICIOUS_SCORE => TrialVerdict::Suspicious,
             _ => TrialVerdict::Good,
         }
     }
 
     fn add(&mut self, count: &TrialCount) {
         self.ended += u64::from(count.ended);
-        let failed = self.usual.rate(self.usual.failed, MIN_FAILED);
-        let slow = self.usual.rate(self.usual.slow, MIN_SLOW);
-        let failed = log_odds(count.ended, count.failed, failed, FAILS_MORE);
-        let slow = log_odds(count.ended - count.failed, count.slow, slow, SLOW_MORE);
-        for evidence in [&mut self.all, self.by_route.entry(count.routes).or_default()] {
-            evidence.whole.add(failed, slow);
-            evidence.by_replicas.entry(count.replicas).or_default().add(failed, slow);
+        let failed = self.baseline.rate(self.baseline.failed, MIN_FAILURE_RATE);
+        let slow = self.baseline.rate(self.baseline.slow, MIN_SLOW_RATE);
+        let failed =
+            log_likelihood_ratio(count.ended, count.failed, failed, MIN_FAILURE_RATE_INCREASE);
+        let slow = log_likelihood_ratio(
+            count.ended - count.failed,
+            count.slow,
+            slow,
+            MIN_SLOW_RATE_INCREASE,
+        );
+        for evidence in [&mut self.all, self.by_route_class.entry(count.route_class).or_default()] {
+            evidence.overall.add(failed, slow);
+            evidence.by_replica_class.entry(count.replica_class).or_default().add(failed, slow);
         }
     }
 }
 
 impl Evidence {
     /// The evidence for the likelier of the two ways to be bad.
-    fn strongest(&self, replicas: u32) -> f64 {
+    fn max_score(&self, replicas: u32) -> f64 {
         if replicas < 2 {
-            return self.whole.failed.max(self.whole.slow);
+            return self.overall.failed.max(self.overall.slow);
         }
-        let failed = self.shared(self.whole.failed, |score| score.failed);
-        failed.max(self.shared(self.whole.slow, |score| score.slow))
+        let failed = self.version_score(self.overall.failed, |score| score.failed);
+        failed.max(self.version_score(self.overall.slow, |score| score.slow))
     }
 
     /// What of the evidence is the version's.
     ///
     /// Guards against one replica that fails, crashes or is slow by itself, which says nothing of
     /// its version: evidence that nearly all comes from one of several replicas does not count.
-    fn shared(&self, whole: f64, of: impl Fn(&Score) -> f64) -> f64 {
-        let total: f64 = self.by_replicas.values().map(&of).sum();
-        let worst = self.by_replicas.values().map(&of).fold(0.0, f64::max);
+    fn version_score(&self, whole: f64, of: impl Fn(&CusumScore) -> f64) -> f64 {
+        let total: f64 = self.by_replica_class.values().map(&of).sum();
+        let worst = self.by_replica_class.values().map(&of).fold(0.0, f64::max);
         let others = total - worst;
-        if others >= OTHERS_PART * total { whole } else { whole.min(others / OTHERS_PART) }
+        if others >= MIN_OTHER_REPLICAS_FRACTION * total {
+            whole
+        } else {
+            whole.min(others / MIN_OTHER_REPLICAS_FRACTION)
+        }
     }
 }
 
-impl Usual {
+impl BaselineCounts {
     fn rate(&self, count: f64, least: f64) -> f64 {
         let rate = (count + least * PRIOR_SENDS) / (self.ended + PRIOR_SENDS);
         rate.max(least)
     }
 }
 
-impl Score {
+impl CusumScore {
     fn add(&mut self, failed: f64, slow: f64) {
         self.failed = (self.failed + failed).max(0.0);
         self.slow = (self.slow + slow).max(0.0);
@@ -182,22 +192,22 @@
 }
 
 /// How much likelier some ends are for a version that is bad, as a logarithm.
-fn log_odds(ended: u32, bad: u32, usual: f64, more: f64) -> f64 {
+fn log_likelihood_ratio(ended: u32, bad: u32, usual: f64, more: f64) -> f64 {
     let usual = usual.min(MAX_RATE - more);
     let if_bad = (usual + more).min(MAX_RATE);
     let good = f64::from(ended - bad);
     f64::from(bad) * (if_bad / usual).ln() + good * ((1.0 - if_bad) / (1.0 - usual)).ln()
 }
 
-fn total(counts: &[TrialCount]) -> u64 {
+fn total_ended(counts: &[TrialCount]) -> u64 {
     counts.iter().map(|count| u64::from(count.ended)).sum()
 }
 
 /// What a count has beyond the one of the same classes in an earlier report.
-fn since(count: &TrialCount, before: &[TrialCount]) -> TrialCount {
+fn count_increase(count: &TrialCount, before: &[TrialCount]) -> TrialCount {
     let is_same = |one: &&TrialCount| {
-        (one.is_on_trial, one.replicas, one.routes)
-            == (count.is_on_trial, count.replicas, count.routes)
+        (one.is_on_trial, one.replica_class, one.route_class)
+            == (count.is_on_trial, count.replica_class, count.route_class)
     };
     let known = before.iter().find(is_same).copied().unwrap_or_default();
     let ended = count.ended.saturating_sub(known.ended);
--- a/crates/sassafrasproxy-core/src/forward/rollout/versions.rs
+++ b/crates/sassafrasproxy-core/src/forward/rollout/versions.rs
@@ -38,16 +38,23 @@
         },
         RolloutPhase::Promoted if !is_stopped => only(&record.target_version),
         RolloutPhase::Trial | RolloutPhase::Promoted | RolloutPhase::RolledBack => {
-            after(&record.base_version, Some(&record.target_version), is_there, listed.clone())
+            version_after_rollout(
+                &record.base_version,
+                Some(&record.target_version),
+                is_there,
+                listed.clone(),
+            )
+        }
+        RolloutPhase::Completed => {
+            version_after_rollout(&record.target_version, None, is_there, listed.clone())
         }
-        RolloutPhase::Completed => after(&record.target_version, None, is_there, listed.clone()),
     }
 }
 
 /// The version that a roll-out ended with; if its replicas are gone, the only other one there is.
 ///
 /// A version that was rolled back stays out even where it is the only one.
-fn after<'a>(
+fn version_after_rollout<'a>(
     version: &EcoString,
     bad: Option<&EcoString>,
     is_there: impl Fn(&EcoString) -> bool,
--- a/crates/sassafrasproxy-core/src/forward/placement/pool/mod.rs
+++ b/crates/sassafrasproxy-core/src/forward/routing/pool/mod.rs
@@ -8,9 +8,9 @@
 use indexmap::IndexMap;
 use sassafrasproxy_wire::ReplicaEntry;
 
-use self::replica::{Outstanding, ReplicaState};
-use super::pause_times::PauseTimes;
-use super::slow_share::SlowProspect;
+use self::replica::{InFlightSend, ReplicaState};
+use super::pause_estimator::PauseEstimator;
+use super::slot_budget::SlowForecast;
 use crate::{Catalogue, RouteClass, Trial, TrialReport};
 
 /// Which send: grows with each, never used again.
@@ -39,7 +39,7 @@
     /// The connection broke off, or what came was no usable answer.
     Lost,
     /// Nothing came for as long as the send could wait.
-    Silent,
+    TimedOut,
     /// No connection could be made.
     Unreachable,
     /// Another replica has the address.
@@ -50,9 +50,9 @@
 
 /// What asking a service now would probably meet.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Prospect {
+pub struct ServiceForecast {
     /// If the replica that would be asked has been slow for a while, what it bears.
-    pub slow: Option<SlowProspect>,
+    pub slow: Option<SlowForecast>,
 }
 
 /// All replicas that this node may send to.
@@ -62,7 +62,7 @@
     services: IndexMap<EcoString, Vec<EcoString>>,
     replicas: IndexMap<EcoString, ReplicaState>,
     next_send: SendId,
-    pauses: PauseTimes,
+    pause_estimator: PauseEstimator,
     /// By service, this node's part in the trial of a version.
     trials: IndexMap<EcoString, Trial>,
 }
@@ -75,7 +75,7 @@
             services: IndexMap::new(),
             replicas: IndexMap::new(),
             next_send: 1,
-            pauses: PauseTimes::default(),
+            pause_estimator: PauseEstimator::default(),
             trials: IndexMap::new(),
         }
     }
@@ -101,11 +101,12 @@
             }
             let state = &mut self.replicas[id];
             state.entry = listed.entry.clone();
-            state.is_open = listed.is_open;
+            state.is_open = listed.is_eligible;
             state.is_on_trial = listed.is_on_trial;
-            state.limit(service, nodes.max(1), &self.settings);
+            state.update_limits(service, nodes.max(1), &self.settings);
             let cold_us = listed.entry.cold_for_ms * crate::US_PER_MS;
-            state.cold_until_us = (listed.seen_us + cold_us).max(now_us.min(state.cold_until_us));
+            state.cold_until_us =
+                (listed.received_us + cold_us).max(now_us.min(state.cold_until_us));
         }
         self.update_trials(now_us, catalogue);
         self.services.clear();
@@ -120,7 +121,12 @@
     }
 
     /// Takes a new catalogue in whose replicas each take a number of sends from this node.
-    pub fn update_unlimited(&mut self, now_us: u64, catalogue: &Catalogue, in_flight: usize) {
+    pub fn update_with_in_flight_limit(
+        &mut self,
+        now_us: u64,
+        catalogue: &Catalogue,
+        in_flight: usize,
+    ) {
         self.update(now_us, catalogue, 1);
         self.replicas.values_mut().for_each(|state| state.max_in_flight = in_flight);
     }
@@ -136,16 +142,16 @@
     /// Guards against replicas that are full of connections nobody uses: a fleet that keeps one
     /// each may be over the cap, and the replica resets new ones. What may run once only is lost
     /// then, as it is not sent again.
-    pub fn idle_limit(&self, id: &str, nodes: usize, is_sender: bool) -> usize {
+    pub fn max_idle_connections(&self, id: &str, nodes: usize, is_ingress: bool) -> usize {
         let Some(state) = self.replicas.get(id) else { return 0 };
-        if is_sender { state.max_in_flight } else { state.max_connections / nodes.max(1) }
+        if is_ingress { state.max_in_flight } else { state.max_connections / nodes.max(1) }
     }
 
     /// In how long a replica of a service may get work, in microseconds; `None` if none is there.
     pub fn usable_in_us(&self, service: &str, now_us: u64) -> Option<u64> {
         let ids = self.services.get(service)?;
         let open = ids.iter().map(|id| &self.replicas[id]).filter(|state| state.is_in_use());
-        open.map(|state| state.usable_in_us(now_us, &self.pauses)).min()
+        open.map(|state| state.usable_in_us(now_us, &self.pause_estimator)).min()
     }
 
     /// Whether a service has any replica, usable or not.
@@ -159,7 +165,7 @@
     }
 
     /// How many replicas of the services each failure domain holds.
-    pub fn domain_counts<'a>(
+    pub fn replicas_by_domain<'a>(
         &self,
         services: impl IntoIterator<Item = &'a EcoString>,
     ) -> IndexMap<EcoString, usize> {
@@ -193,10 +199,10 @@
         for id in ids {
             let state = &self.replicas[id];
             let is_left_out = tried.contains(id) || state.is_on_trial;
-            if is_left_out || !state.takes_one(now_us, &self.pauses) {
+            if is_left_out || !state.can_take_request(now_us, &self.pause_estimator) {
                 continue;
             }
-            let cost = state.cost_us(now_us, expected_us, &self.pauses);
+            let cost = state.cost_us(now_us, expected_us, &self.pause_estimator);
             // Equal replicas take turns, as nodes far from all of them must not all pick one.
             let is_better = best.is_none_or(|(least, _)| {
                 cost < least || (cost == least && self.next_send.is_multiple_of(2))
@@ -224,35 +230,45 @@
         }
         let is_next = |id: &&EcoString| {
             let state = &self.replicas[*id];
-            state.is_on_trial && state.takes_one(now_us, &self.pauses)
+            state.is_on_trial && state.can_take_request(now_us, &self.pause_estimator)
         };
         // By turns: a replica that fails by itself must not stand for its version. All canaries come
         // to the same one at about the same time, so that it shows how it fares under load.
         let mut next: Vec<&EcoString> = ids.iter().filter(is_next).collect();
         next.sort_unstable();
-        let turn = trial.sent() as usize % next.len().max(1);
+        let turn = trial.trial_sends() as usize % next.len().max(1);
         next.get(turn).map(|id| (*id).clone())
     }
 
     /// What the replica that would be picked is like; `None` if none can be asked.
-    pub fn prospect(&self, service: &str, now_us: u64, expected_us: u64) -> Option<Prospect> {
+    pub fn forecast(
+        &self,
+        service: &str,
+        now_us: u64,
+        expected_us: u64,
+    ) -> Option<ServiceForecast> {
         let id = self.pick(service, now_us, expected_us, &[])?;
         let state = &self.replicas[&id];
         let slowness = state.slowness.value(now_us);
-        Some(Prospect {
-            slow: state.share.prospect(now_us, expected_us, slowness, self.pauses.longest_us()),
+        Some(ServiceForecast {
+            slow: state.slot_budget.forecast(
+                now_us,
+                expected_us,
+                slowness,
+                self.pause_estimator.max_pause_us(),
+            ),
         })
     }
 
     /// Notes that a query needs a service's slow replicas.
-    pub fn note_contested(&mut self, service: &str, now_us: u64) {
+    pub fn reserve_replicas(&mut self, service: &str, now_us: u64) {
         for id in self.services.get(service).into_iter().flatten() {
-            self.replicas[id].share.note_contested(now_us);
+            self.replicas[id].slot_budget.reserve(now_us);
         }
     }
 
     /// Notes a send to a replica, which is beyond its usual time `patience_us` from now.
-    pub fn start(
+    pub fn start_send(
         &mut self,
         id: &str,
         now_us: u64,
@@ -262,15 +278,15 @@
         let state = self.replicas.get_mut(id)?;
         let send = self.next_send;
         self.next_send += 1;
-        state.spend_cold(now_us);
-        state.share.note_send(now_us, expected_us);
+        state.take_cold_token(now_us);
+        state.slot_budget.record_send(now_us, expected_us);
         let due_us = now_us + patience_us;
-        state.outstanding.push(Outstanding {
+        state.in_flight.push(InFlightSend {
             id: send,
             sent_us: now_us,
             expected_us,
             due_us,
-            counted: None,
+            trial_class: None,
         });
         Some(send)
     }
@@ -286,25 +302,25 @@
         let Some(state) = self.replicas.get_mut(id) else { return };
         let Some(trial) = self.trials.get_mut(&state.entry.service) else { return };
         if is_first {
-            trial.note_request();
+            trial.record_request();
         }
         if state.is_on_trial {
-            trial.note_send();
+            trial.record_send();
         }
-        if let Some(sent) = state.outstanding.iter_mut().find(|one| one.id == send) {
-            sent.counted = Some(class);
+        if let Some(sent) = state.in_flight.iter_mut().find(|one| one.id == send) {
+            sent.trial_class = Some(class);
         }
     }
 
     /// Notes that a part of an answer came from a replica.
-    pub fn note_heard(&mut self, id: &str, now_us: u64) {
+    pub fn record_activity(&mut self, id: &str, now_us: u64) {
         if let Some(state) = self.replicas.get_mut(id) {
-            state.heard_us = now_us;
+            state.last_activity_us = now_us;
         }
     }
 
     /// Notes the end of a send; `reported` is the replica's own word on its load.
-    pub fn finish(
+    pub fn finish_send(
         &mut self,
         id: &str,
         send: SendId,
@@ -313,32 +329,32 @@
         reported: Option<u32>,
     ) {
         let Some(state) = self.replicas.get_mut(id) else { return };
-        let Some(at) = state.outstanding.iter().position(|one| one.id == send) else { return };
-        let sent = state.outstanding.swap_remove(at);
+        let Some(at) = state.in_flight.iter().position(|one| one.id == send) else { return };
+        let sent = state.in_flight.swap_remove(at);
         if outcome == SendOutcome::Answered {
-            self.pauses.note(now_us.saturating_sub(sent.due_us));
+            self.pause_estimator.record_lateness(now_us.saturating_sub(sent.due_us));
         }
         if let Some(reported) = reported {
-            state.reported = reported;
-            state.reported_us = now_us;
+            state.reported_load = reported;
+            state.load_reported_us = now_us;
         }
-        state.learn(now_us, &sent, outcome);
-        if let Some(class) = sent.counted
+        state.record_end(now_us, &sent, outcome);
+        if let Some(class) = sent.trial_class
             && let Some(trial) = self.trials.get_mut(&state.entry.service)
         {
             let ended = state.trial_outcome(now_us, &sent, outcome);
-            trial.note_end(&state.entry, class, sent.expected_us, ended);
+            trial.record_end(&state.entry, class, sent.expected_us, ended);
         }
     }
 
     /// Keeps the trials that go on, and begins new ones.
     fn update_trials(&mut self, now_us: u64, catalogue: &Catalogue) {
         let is_same = |service: &EcoString, trial: &Trial| {
-            let granted = catalogue.trials.get(service);
+            let granted = catalogue.trial_grants.get(service);
             granted.is_some_and(|grant| grant.order_revision == trial.grant().order_revision)
         };
         self.trials.retain(|service, trial| is_same(service, trial));
-        for (service, grant) in &catalogue.trials {
+        for (service, grant) in &catalogue.trial_grants {
             let begun = self.trials.entry(service.clone());
             begun.or_insert_with(|| Trial::new(grant.clone(), now_us));
         }
--- a/crates/sassafrasproxy-core/src/forward/placement/routes.rs
+++ b/crates/sassafrasproxy-core/src/forward/routing/route_table.rs
@@ -26,14 +26,14 @@
     /// The route with the longest prefix that begins a path.
     ///
     /// Looks up one prefix for each slash of the path, so the time does not grow with the routes.
-    pub fn pick(&self, host: &str, path: &str) -> Option<&Arc<Route>> {
+    pub fn find_route(&self, host: &str, path: &str) -> Option<&Arc<Route>> {
         let by_prefix = self.hosts.get(host)?;
         let slashes = path.rmatch_indices('/').map(|(at, _)| at);
         slashes.into_iter().find_map(|at| by_prefix.get(&path[..=at]))
     }
 
     /// The routes of a host.
-    pub fn routes_of(&self, host: &str) -> impl Iterator<Item = &Arc<Route>> {
+    pub fn host_routes(&self, host: &str) -> impl Iterator<Item = &Arc<Route>> {
         self.hosts.get(host).into_iter().flat_map(IndexMap::values)
     }
 
--- a/crates/sassafrasproxy-core/src/forward/placement/split.rs
+++ b/crates/sassafrasproxy-core/src/forward/routing/weighted_round_robin.rs
@@ -8,12 +8,12 @@
 /// Smooth weighted round robin: after any number of requests a service's count is within one of
 /// its share, where random choice would stray by the root of the count.
 #[derive(Debug, Clone, Default)]
-pub struct SplitChooser {
+pub struct WeightedRoundRobin {
     parts: Vec<WeightedService>,
     credits: Vec<f64>,
 }
 
-impl SplitChooser {
+impl WeightedRoundRobin {
     /// The service for the next request; `None` if no service has a weight.
     ///
     /// `spread` in 0 to 1 moves the starting point, so that nodes do not all begin with the same.
--- a/crates/sassafrasproxy-core/src/forward/sending/fetch.rs
+++ b/crates/sassafrasproxy-core/src/forward/sending/fetch.rs
@@ -57,14 +57,14 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct FetchFailure {
     /// What stopped it.
-    pub end: FetchEnd,
+    pub reason: FetchFailureReason,
     /// Whether a replica may have run the request.
     pub may_have_run: bool,
 }
 
 /// What stopped a fetch.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum FetchEnd {
+pub enum FetchFailureReason {
     /// No replica of the service can be used now.
     NoReplica,
     /// As many replicas were asked as may be.
@@ -79,7 +79,7 @@
 
 /// How a send of a fetch ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum TryResult {
+pub enum SendResult {
     /// With an answer that ends the fetch.
     Answered,
     /// With the replica's word that it did not run the request.
@@ -97,7 +97,7 @@
     tried: Vec<EcoString>,
     in_flight: u32,
     /// Sends that reached a replica, or may have.
-    arrivals: u32,
+    attempts: u32,
     may_have_run: bool,
     last_sent_us: u64,
     is_hedging_over: bool,
@@ -110,7 +110,7 @@
             service,
             tried: Vec::new(),
             in_flight: 0,
-            arrivals: 0,
+            attempts: 0,
             may_have_run: false,
             last_sent_us: 0,
             is_hedging_over: false,
@@ -123,7 +123,7 @@
     }
 
     /// The replica that was asked last; empty if none was.
-    pub fn last(&self) -> &str {
+    pub fn last_replica(&self) -> &str {
         self.tried.last().map_or("", EcoString::as_str)
     }
 
@@ -143,7 +143,7 @@
         if self.in_flight == 0 {
             return self.send_or_fail(now_us, plan, pool, budget);
         }
-        if !plan.is_idempotent || self.is_hedging_over || self.arrivals >= plan.max_attempts {
+        if !plan.is_idempotent || self.is_hedging_over || self.attempts >= plan.max_attempts {
             return FetchStep::Wait { until_us: None };
         }
         let hedge_us = self.last_sent_us + plan.hedge_after_us;
@@ -161,12 +161,12 @@
     }
 
     /// Takes the end of a send in.
-    pub fn note(&mut self, result: TryResult) {
+    pub fn record_result(&mut self, result: SendResult) {
         self.in_flight = self.in_flight.saturating_sub(1);
         match result {
-            TryResult::Answered | TryResult::MayHaveRun => self.may_have_run = true,
-            TryResult::NotRun => {}
-            TryResult::Unsent => self.arrivals = self.arrivals.saturating_sub(1),
+            SendResult::Answered | SendResult::MayHaveRun => self.may_have_run = true,
+            SendResult::NotRun => {}
+            SendResult::Unsent => self.attempts = self.attempts.saturating_sub(1),
         }
     }
 
@@ -177,21 +177,22 @@
         pool: &mut UpstreamPool,
         budget: &mut RetryBudget,
     ) -> FetchStep {
-        let failed = |end| FetchStep::Failed(FetchFailure { end, may_have_run: self.may_have_run });
+        let failed =
+            |end| FetchStep::Failed(FetchFailure { reason: end, may_have_run: self.may_have_run });
         if self.may_have_run && !plan.is_idempotent {
-            return failed(FetchEnd::NotRepeatable);
+            return failed(FetchFailureReason::NotRepeatable);
         }
-        if self.arrivals >= plan.max_attempts {
-            return failed(FetchEnd::AllTried);
+        if self.attempts >= plan.max_attempts {
+            return failed(FetchFailureReason::AllTried);
         }
         let Some(replica) = pool.pick(&self.service, now_us, plan.expected_us, &self.tried) else {
-            return failed(FetchEnd::NoReplica);
+            return failed(FetchFailureReason::NoReplica);
         };
-        if self.arrivals == 0 {
+        if self.attempts == 0 {
             return self.send(now_us, plan, pool, replica, SendCause::First);
         }
         if !budget.spend(&self.service, now_us, plan.budget_shares) {
-            return failed(FetchEnd::NoBudget);
+            return failed(FetchFailureReason::NoBudget);
         }
         self.send(now_us, plan, pool, replica, SendCause::Retry)
     }
@@ -204,16 +205,18 @@
         replica: EcoString,
         cause: SendCause,
     ) -> FetchStep {
-        let send = pool.start(&replica, now_us, plan.expected_us, plan.hedge_after_us);
+        let send = pool.start_send(&replica, now_us, plan.expected_us, plan.hedge_after_us);
         let Some(send) = send else {
-            let failure =
-                FetchFailure { end: FetchEnd::NoReplica, may_have_run: self.may_have_run };
+            let failure = FetchFailure {
+                reason: FetchFailureReason::NoReplica,
+                may_have_run: self.may_have_run,
+            };
             return FetchStep::Failed(failure);
         };
         pool.count_in_trial(&replica, send, cause == SendCause::First, plan.route_class);
         self.tried.push(replica.clone());
         self.in_flight += 1;
-        self.arrivals += 1;
+        self.attempts += 1;
         self.last_sent_us = now_us;
         FetchStep::Send { replica, send, cause }
     }
--- a/crates/sassafrasproxy-core/src/forward/sending/gather.rs
+++ b/crates/sassafrasproxy-core/src/forward/sending/gather.rs
@@ -13,34 +13,35 @@
     /// Until when all parts are waited for, in microseconds.
     ///
     /// Callers are better served in time without the last parts than late with all of them.
-    pub stop_us: u64,
+    pub soft_deadline_us: u64,
     /// When the caller must have its final answer, in microseconds.
     pub end_us: u64,
 }
 
 /// What is kept of a latency goal for sending the answer, in microseconds: timers fire up to a
 /// millisecond late.
-const SEND_US: u64 = 1_500;
+const SEND_RESERVE_US: u64 = 1_500;
 
 /// What is kept for each shard besides, in microseconds: parts that came at the same time are read
 /// first.
-const PART_US: u64 = 50;
+const PART_RESERVE_US: u64 = 50;
 
 /// The part of a latency goal that is kept besides.
 ///
 /// A late answer helps its caller little, one without the last part nearly as much as a whole one: so
 /// an answer does not wait until the last moment at which it may still come in time.
-const GOAL_SLACK_PART: u64 = 25;
+const GOAL_SLACK_DIVISOR: u64 = 25;
 
 /// The part of the caller's round trip that is kept besides, as some of its answers take longer.
-const WAY_SLACK_PART: u64 = 8;
+const ROUND_TRIP_SLACK_DIVISOR: u64 = 8;
 
 impl GatherPlan {
     /// Until when all parts are waited for, in microseconds, so that a caller whose goal started
     /// at `start_us` and which is a round trip of `way_us` away gets the answer in time.
-    pub fn stop_us(start_us: u64, goal_us: u64, way_us: u64, shards: usize) -> u64 {
-        let reserve_us = SEND_US + PART_US * shards as u64 + goal_us / GOAL_SLACK_PART;
-        let way_us = way_us + way_us / WAY_SLACK_PART;
+    pub fn soft_deadline_us(start_us: u64, goal_us: u64, round_trip_us: u64, shards: usize) -> u64 {
+        let reserve_us =
+            SEND_RESERVE_US + PART_RESERVE_US * shards as u64 + goal_us / GOAL_SLACK_DIVISOR;
+        let way_us = round_trip_us + round_trip_us / ROUND_TRIP_SLACK_DIVISOR;
         (start_us + goal_us).saturating_sub(way_us + reserve_us)
     }
 
@@ -77,13 +78,13 @@
         return GatherStep::GiveUp;
     }
     let is_enough = parts >= plan.min_parts;
-    if pending == 0 || (is_enough && now_us >= plan.stop_us) {
+    if pending == 0 || (is_enough && now_us >= plan.soft_deadline_us) {
         return GatherStep::Answer;
     }
     if now_us >= plan.end_us {
         return GatherStep::GiveUp;
     }
-    let until_us = if is_enough { plan.stop_us.min(plan.end_us) } else { plan.end_us };
+    let until_us = if is_enough { plan.soft_deadline_us.min(plan.end_us) } else { plan.end_us };
     GatherStep::Wait { until_us }
 }
 
@@ -93,7 +94,7 @@
 /// `usable_in_us` says in how long each shard has a replica that may get work. Guards against
 /// queries that must fail: with three of twenty shards away and eighteen needed, seventeen
 /// replicas would work for an answer that nobody gets.
-pub fn possible_in_us(usable_in_us: &[Option<u64>], min_parts: usize) -> Option<u64> {
+pub fn min_parts_usable_in_us(usable_in_us: &[Option<u64>], min_parts: usize) -> Option<u64> {
     let mut times: Vec<u64> = usable_in_us.iter().copied().flatten().collect();
     times.sort_unstable();
     times.get(min_parts.saturating_sub(1)).copied()
--- a/crates/sassafrasproxy-core/src/forward/sending/mod.rs
+++ b/crates/sassafrasproxy-core/src/forward/sending/mod.rs
@@ -7,11 +7,13 @@
 mod fetch;
 mod gather;
 mod retry_budget;
-mod route_times;
+mod route_latencies;
 
-pub use self::fetch::{Fetch, FetchEnd, FetchFailure, FetchPlan, FetchStep, SendCause, TryResult};
+pub use self::fetch::{
+    Fetch, FetchFailure, FetchFailureReason, FetchPlan, FetchStep, SendCause, SendResult,
+};
 pub use self::gather::{
-    GatherPlan, GatherStep, RECORD_BYTES, merge_records, next_gather_step, possible_in_us,
+    GatherPlan, GatherStep, RECORD_BYTES, merge_records, min_parts_usable_in_us, next_gather_step,
 };
 pub use self::retry_budget::{RetryBudget, RetryBudgetPolicy, budget_shares};
-pub use self::route_times::{Fanout, RouteTimes, SendTimes};
+pub use self::route_latencies::{Fanout, RouteLatencies, SendTiming};
--- a/crates/sassafrasproxy-core/src/forward/sending/retry_budget.rs
+++ b/crates/sassafrasproxy-core/src/forward/sending/retry_budget.rs
@@ -13,16 +13,16 @@
 ///
 /// What is left is for nodes that have just started: the life before may have spent its share in
 /// the same window.
-const FIXED_PART: f64 = 0.8;
+const FIXED_BUDGET_FRACTION: f64 = 0.8;
 
 /// The part of its share that a node has at its start; it has the whole after one window.
 ///
 /// If all nodes start again at once, they spend a quarter of 0.8 beside the 0.8 that was spent
 /// before: the whole budget, and no more.
-const START_PART: f64 = 0.25;
+const INITIAL_SHARE_FRACTION: f64 = 0.25;
 
 /// One in so many shares of the fixed budget is for the nodes that callers are not sent to.
-const SPARE_SHARES: usize = 8;
+const NON_INGRESS_SHARE_DIVISOR: usize = 8;
 
 /// In how many alike shares the fixed budget is counted for a node, if callers are sent to `senders`
 /// of `nodes` nodes and it is one of these (`is_sender`) or not.
@@ -30,12 +30,14 @@
 /// The senders get all but an eighth of it. Guards against a budget that nobody spends: where few
 /// of many nodes serve nearly all queries, equal shares leave these without the retries that the
 /// rest could pay for.
-pub fn budget_shares(nodes: usize, senders: usize, is_sender: bool) -> usize {
-    let others = nodes.saturating_sub(senders);
-    match (others, is_sender) {
+pub fn budget_shares(nodes: usize, ingress_nodes: usize, is_ingress: bool) -> usize {
+    let others = nodes.saturating_sub(ingress_nodes);
+    match (others, is_ingress) {
         (0, _) => nodes,
-        (_, true) => (senders * SPARE_SHARES).div_ceil(SPARE_SHARES - 1),
-        (_, false) => others * SPARE_SHARES,
+        (_, true) => {
+            (ingress_nodes * NON_INGRESS_SHARE_DIVISOR).div_ceil(NON_INGRESS_SHARE_DIVISOR - 1)
+        }
+        (_, false) => others * NON_INGRESS_SHARE_DIVISOR,
     }
 }
 
@@ -57,7 +59,7 @@
 #[derive(Debug, Clone)]
 pub struct RetryBudget {
     policy: RetryBudgetPolicy,
-    started_us: u64,
+    ramp_start_us: u64,
     services: IndexMap<EcoString, Usage>,
 }
 
@@ -70,7 +72,7 @@
 impl RetryBudget {
     /// A budget that nothing was spent of.
     pub fn new(policy: RetryBudgetPolicy, now_us: u64) -> Self {
-        Self { policy, started_us: now_us, services: IndexMap::new() }
+        Self { policy, ramp_start_us: now_us, services: IndexMap::new() }
     }
 
     /// Takes a changed policy in; what was spent stays counted.
@@ -83,22 +85,23 @@
 
     /// Notes that the node gets a larger share from now on, which it has after one window, as at a
     /// start: those who had it before may have spent it.
-    pub fn note_larger_share(&mut self, now_us: u64) {
-        self.started_us = now_us;
+    pub fn restart_ramp(&mut self, now_us: u64) {
+        self.ramp_start_us = now_us;
     }
 
     /// Counts a request for a service.
-    pub fn note_request(&mut self, service: &EcoString, now_us: u64) {
-        self.slot(service, now_us).1 += 1;
+    pub fn record_request(&mut self, service: &EcoString, now_us: u64) {
+        self.current_slot(service, now_us).1 += 1;
     }
 
     /// Takes one extra send to a service, if the budget allows; the fixed part has `shares`.
     pub fn spend(&mut self, service: &EcoString, now_us: u64, shares: usize) -> bool {
         let policy = self.policy;
-        let age = now_us.saturating_sub(self.started_us) as f64 / policy.window_us as f64;
-        let share = policy.fixed * FIXED_PART / shares.max(1) as f64;
-        let fixed = share * (START_PART + (1.0 - START_PART) * age.min(1.0));
-        let slot = self.slot(service, now_us).0;
+        let age = now_us.saturating_sub(self.ramp_start_us) as f64 / policy.window_us as f64;
+        let share = policy.fixed * FIXED_BUDGET_FRACTION / shares.max(1) as f64;
+        let fixed =
+            share * (INITIAL_SHARE_FRACTION + (1.0 - INITIAL_SHARE_FRACTION) * age.min(1.0));
+        let slot = self.current_slot(service, now_us).0;
         let usage = &mut self.services[service];
         let requests: u32 = usage.slots.iter().map(|slot| slot.1).sum();
         let extra: u32 = usage.slots.iter().map(|slot| slot.2).sum();
@@ -112,7 +115,7 @@
     }
 
     /// The current slot of a service's window, with what has left the window forgotten.
-    fn slot(&mut self, service: &EcoString, now_us: u64) -> &mut (u64, u32, u32) {
+    fn current_slot(&mut self, service: &EcoString, now_us: u64) -> &mut (u64, u32, u32) {
         let number = now_us * SLOTS_PER_WINDOW / self.policy.window_us;
         let usage = self.services.entry(service.clone()).or_default();
         while usage.slots.front().is_some_and(|slot| slot.0 + SLOTS_PER_WINDOW < number) {
--- a/crates/sassafrasproxy-core/src/forward/sending/route_times.rs
+++ b/crates/sassafrasproxy-core/src/forward/sending/route_latencies.rs
@@ -12,31 +12,31 @@
 const HEDGE_FACTOR: f64 = 1.2;
 
 /// The least time before a second send, in microseconds: about a round trip and a short run.
-const MIN_HEDGE_US: u64 = 4_000;
+const MIN_HEDGE_DELAY_US: u64 = 4_000;
 
 /// The longest time before a second send, as a part of the latency goal.
 ///
 /// Guards against many slow replicas at once: they raise the quantile, and second sends would
 /// start too late to help just when they are needed. A query over shards must merge after its
 /// last part; a single request may use half of its goal before the second send.
-const MAX_HEDGE_PART_OF_SHARDS: f64 = 0.25;
-const MAX_HEDGE_PART_OF_ONE: f64 = 0.5;
+const MAX_SHARDS_HEDGE_FRACTION: f64 = 0.25;
+const MAX_SINGLE_HEDGE_FRACTION: f64 = 0.5;
 
 /// The part of the latency goal that stands for the usual time before any was measured.
-const UNMEASURED_PART: u64 = 8;
+const DEFAULT_LATENCY_DIVISOR: u64 = 8;
 
 /// What the requests of a route ask.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Fanout {
     /// One replica.
-    One,
+    Single,
     /// One replica of each of many shards.
     Shards,
 }
 
 /// The usual time of a route's sends, and when a second send may start.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct SendTimes {
+pub struct SendTiming {
     /// The median, in microseconds.
     pub expected_us: u64,
     /// How long after a send a second one may start, in microseconds.
@@ -45,26 +45,26 @@
 
 /// The latencies that the sends of one route showed.
 #[derive(Debug, Clone, Default)]
-pub struct RouteTimes {
+pub struct RouteLatencies {
     latencies: LatencyWindow,
 }
 
-impl RouteTimes {
+impl RouteLatencies {
     /// Notes how long an answer took.
     pub fn record(&mut self, took_us: u64) {
         self.latencies.record(took_us);
     }
 
     /// The times to plan a send with.
-    pub fn send_times(&self, goal_us: u64, fanout: Fanout) -> SendTimes {
-        let unmeasured_us = goal_us / UNMEASURED_PART;
+    pub fn send_timing(&self, goal_us: u64, fanout: Fanout) -> SendTiming {
+        let unmeasured_us = goal_us / DEFAULT_LATENCY_DIVISOR;
         let expected_us = self.latencies.quantile_us(0.5).unwrap_or(unmeasured_us);
         let late_us = self.latencies.quantile_us(HEDGE_QUANTILE).unwrap_or(2 * unmeasured_us);
         let part = match fanout {
-            Fanout::One => MAX_HEDGE_PART_OF_ONE,
-            Fanout::Shards => MAX_HEDGE_PART_OF_SHARDS,
+            Fanout::Single => MAX_SINGLE_HEDGE_FRACTION,
+            Fanout::Shards => MAX_SHARDS_HEDGE_FRACTION,
         };
         let hedge_us = (late_us as f64 * HEDGE_FACTOR).min(goal_us as f64 * part);
-        SendTimes { expected_us, hedge_after_us: (hedge_us as u64).max(MIN_HEDGE_US) }
+        SendTiming { expected_us, hedge_after_us: (hedge_us as u64).max(MIN_HEDGE_DELAY_US) }
     }
 }
--- a/crates/sassafrasproxy-core/src/homes.rs
+++ b/crates/sassafrasproxy-core/src/homes.rs
@@ -33,7 +33,7 @@
 pub struct GroupTable {
     groups: IndexMap<EcoString, ReplicaGroup>,
     /// For each service, the group of each shard.
-    by_shard: IndexMap<EcoString, IndexMap<EcoString, EcoString>>,
+    group_by_shard: IndexMap<EcoString, IndexMap<EcoString, EcoString>>,
 }
 
 impl GroupTable {
@@ -42,7 +42,7 @@
         let mut table = Self::default();
         for service in configuration.services.values() {
             for group in split_service(service) {
-                let by_shard = table.by_shard.entry(service.service.clone()).or_default();
+                let by_shard = table.group_by_shard.entry(service.service.clone()).or_default();
                 for shard in &group.shards {
                     by_shard.insert(shard.clone(), group.name.clone());
                 }
@@ -54,7 +54,7 @@
 
     /// The group that a shard belongs to.
     pub fn group_of(&self, shard: &ShardId) -> Option<&ReplicaGroup> {
-        self.groups.get(self.by_shard.get(&shard.service)?.get(&shard.shard)?)
+        self.groups.get(self.group_by_shard.get(&shard.service)?.get(&shard.shard)?)
     }
 
     /// One group by name.
@@ -69,7 +69,7 @@
 
     /// The groups of one service.
     pub fn groups_of(&self, service: &str) -> IndexSet<&EcoString> {
-        self.by_shard.get(service).into_iter().flat_map(IndexMap::values).collect()
+        self.group_by_shard.get(service).into_iter().flat_map(IndexMap::values).collect()
     }
 }
 
@@ -85,10 +85,10 @@
 
 /// How good a member is as a group's home; the greatest is best.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-struct Rank {
+struct HomeRank {
     may_be_home: bool,
-    is_in: bool,
-    is_near: bool,
+    is_domain_available: bool,
+    shares_domain: bool,
     score: u64,
 }
 
@@ -119,7 +119,7 @@
     ///
     /// Ranking every group at every change would hold the control thread for seconds when a
     /// whole failure domain dies, long enough for this node to be suspected itself.
-    pub fn update(
+    pub fn update_member(
         &mut self,
         groups: &GroupTable,
         members: &[&Member],
@@ -130,10 +130,12 @@
         let by_name = |node: &EcoString| members.iter().find(|member| member.node == *node);
         let touches = |group: &ReplicaGroup, ranked: &[EcoString]| {
             let Some(member) = member else { return ranked.iter().any(|node| node == changed) };
-            let rank = Rank::new(group, member, domains_out);
+            let rank = HomeRank::new(group, member, domains_out);
             let last = ranked.last().and_then(by_name);
-            let is_better = last.is_none_or(|last| rank > Rank::new(group, last, domains_out));
-            is_better || ranked.len() < View::RANKS || ranked.iter().any(|node| node == changed)
+            let is_better = last.is_none_or(|last| rank > HomeRank::new(group, last, domains_out));
+            is_better
+                || ranked.len() < View::MAX_RANKED_NODES
+                || ranked.iter().any(|node| node == changed)
         };
         let homes = &self.homes;
         let touched: Vec<&ReplicaGroup> = groups
@@ -151,12 +153,13 @@
     }
 }
 
-impl Rank {
+impl HomeRank {
     fn new(group: &ReplicaGroup, member: &Member, domains_out: &IndexSet<EcoString>) -> Self {
         Self {
             may_be_home: member.may_be_home(),
-            is_in: domains_out.is_empty() || !domains_out.contains(&member.failure_domain),
-            is_near: group.domain_hashes.contains(&member.domain_hash),
+            is_domain_available: domains_out.is_empty()
+                || !domains_out.contains(&member.failure_domain),
+            shares_domain: group.domain_hashes.contains(&member.domain_hash),
             score: xxh3_64_with_seed(&group.name_hash.to_le_bytes(), member.name_hash),
         }
     }
@@ -168,14 +171,15 @@
     members: &[&Member],
     domains_out: &IndexSet<EcoString>,
 ) -> Vec<EcoString> {
-    let mut best: Vec<(Rank, &Member)> = Vec::with_capacity(View::RANKS + 1);
+    let mut best: Vec<(HomeRank, &Member)> = Vec::with_capacity(View::MAX_RANKED_NODES + 1);
     for member in members {
-        let rank = Rank::new(group, member, domains_out);
-        let is_before = |(other, at): &(Rank, &Member)| (*other, &member.node) > (rank, &at.node);
+        let rank = HomeRank::new(group, member, domains_out);
+        let is_before =
+            |(other, at): &(HomeRank, &Member)| (*other, &member.node) > (rank, &at.node);
         let place = best.partition_point(is_before);
-        if place < View::RANKS {
+        if place < View::MAX_RANKED_NODES {
             best.insert(place, (rank, member));
-            best.truncate(View::RANKS);
+            best.truncate(View::MAX_RANKED_NODES);
         }
     }
     best.into_iter().map(|(_, member)| member.node.clone()).collect()
--- a/crates/sassafrasproxy-core/src/lib.rs
+++ b/crates/sassafrasproxy-core/src/lib.rs
@@ -8,23 +8,27 @@
 mod control;
 mod forward;
 mod homes;
-mod lane;
 mod query;
+mod scheduler;
 mod view;
 
 pub use self::claims::{
-    ClaimBucket, ClaimEffect, ClaimEvent, ClaimPolicy, StoreCall, StoreResult, Ticket, bucket_of,
+    ClaimBucket, ClaimEffect, ClaimEvent, ClaimId, ClaimPolicy, StoreCall, StoreResult,
+    claim_bucket_of,
 };
 pub use self::control::{
-    Control, ControlEffect, ControlEvent, ControlPolicy, Digests, Member, MemberTable,
+    ControlEffect, ControlEvent, ControlPlane, ControlPolicy, Digests, Member, MemberTable,
 };
 pub use self::forward::*;
 pub use self::homes::{GroupTable, HomeTable, ReplicaGroup, hash_name};
-pub use self::lane::{
-    AttemptId, AttemptReport, AttemptResult, ExtraBudget, Lane, LaneConfiguration, LaneEffect,
-    LaneEvent, LanePolicy, LatencyWindow, ReplicaSpec, StatusReport, Sub, SubKey,
+pub use self::query::{
+    Query, QueryEffect, QueryEnd, QueryEvent, QueryPlan, QuerySpec, ShardRequestToken,
+};
+pub use self::scheduler::{
+    AttemptId, AttemptReport, AttemptResult, HedgeRetryBudget, LatencyWindow, ReplicaSpec,
+    Scheduler, SchedulerConfiguration, SchedulerEffect, SchedulerEvent, SchedulerPolicy,
+    StatusReport, SubRequestId, SubRequestSpec,
 };
-pub use self::query::{AskToken, Query, QueryEffect, QueryEnd, QueryEvent, QueryPlan, QuerySpec};
 pub use self::view::View;
 
 /// Microseconds in a millisecond.
--- a/crates/sassafrasproxy-core/src/query.rs
+++ b/crates/sassafrasproxy-core/src/query.rs
@@ -14,7 +14,7 @@
 const MAX_RESTARTS: u32 = 3;
 
 /// How many nodes a sub-request may be offered to.
-const MAX_HOPS: u32 = 4;
+const MAX_NODE_ATTEMPTS: u32 = 4;
 
 /// When to come back after a refusal that names no time, in milliseconds.
 const DEFAULT_RETRY_AFTER_MS: u64 = 200;
@@ -43,7 +43,7 @@
 
 /// One ask of a shard; its number is unique in a query.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct AskToken(pub u32);
+pub struct ShardRequestToken(pub u32);
 
 /// What a query takes in.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -53,14 +53,14 @@
     /// A node answered an ask.
     Replied {
         /// The ask.
-        token: AskToken,
+        token: ShardRequestToken,
         /// The answer.
         outcome: SubOutcome,
     },
     /// An ask got no answer from its node.
     Unreachable {
         /// The ask.
-        token: AskToken,
+        token: ShardRequestToken,
         /// Whether the node may have received it.
         may_have_arrived: bool,
         /// Whether the node answers over a new connection.
@@ -74,9 +74,9 @@
 #[derive(Debug, Clone, PartialEq)]
 pub enum QueryEffect {
     /// Ask a node for a shard.
-    Ask {
+    RequestShard {
         /// The ask.
-        token: AskToken,
+        token: ShardRequestToken,
         /// The node.
         node: EcoString,
         /// The shard.
@@ -89,10 +89,10 @@
     /// Tell a node that nobody waits for an ask any more.
     Abandon {
         /// The ask.
-        token: AskToken,
+        token: ShardRequestToken,
     },
     /// Put an event on the time line.
-    Note(EventKind),
+    RecordEvent(EventKind),
     /// Answer the caller; nothing follows.
     Finish(QueryEnd),
 }
@@ -107,7 +107,7 @@
     /// What is covered.
     pub coverage: Coverage,
     /// For each covered shard, in the same order, the ask whose body is its result.
-    pub bodies: Vec<AskToken>,
+    pub body_tokens: Vec<ShardRequestToken>,
     /// The reason, unless everything is covered.
     pub reason: Option<Reason>,
     /// When to come back, in milliseconds.
@@ -119,9 +119,9 @@
 pub struct Query {
     spec: QuerySpec,
     snapshot: Option<SnapshotId>,
-    shards: Vec<ShardState>,
+    shards: Vec<ShardProgress>,
     /// Snapshots that turned out not to be served.
-    gone: IndexSet<SnapshotId>,
+    unserved_snapshots: IndexSet<SnapshotId>,
     restarts: u32,
     next_token: u32,
     /// Whether an ask was sent that may have run and did not answer.
@@ -132,22 +132,22 @@
 
 /// One shard of a query that runs.
 #[derive(Debug)]
-struct ShardState {
+struct ShardProgress {
     shard: ShardId,
     /// The ask that has not ended.
-    asked: Option<AskToken>,
+    open_request: Option<ShardRequestToken>,
     /// How many nodes it was offered to.
-    hops: u32,
+    node_attempts: u32,
     /// Whether its one second ask of the same node, over a new connection, was used.
-    was_asked_anew: bool,
-    state: Progress,
+    has_reconnected: bool,
+    state: ShardStatus,
 }
 
 /// How far a shard is.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Progress {
-    Waiting,
-    Covered(AskToken),
+enum ShardStatus {
+    Pending,
+    Covered(ShardRequestToken),
     Missing { reason: Reason, retry_after_ms: u64, may_have_run: bool },
 }
 
@@ -158,7 +158,7 @@
             spec,
             snapshot: None,
             shards: Vec::new(),
-            gone: IndexSet::new(),
+            unserved_snapshots: IndexSet::new(),
             restarts: 0,
             next_token: 0,
             may_have_run: false,
@@ -174,9 +174,11 @@
         }
         match event {
             QueryEvent::Start => self.start(view),
-            QueryEvent::Replied { token, outcome } => self.replied(now_us, token, outcome, view),
+            QueryEvent::Replied { token, outcome } => {
+                self.handle_reply(now_us, token, outcome, view);
+            }
             QueryEvent::Unreachable { token, may_have_arrived, is_alive } => {
-                self.unreachable(token, may_have_arrived, is_alive, view);
+                self.handle_unreachable(token, may_have_arrived, is_alive, view);
             }
             QueryEvent::Timer => {}
         }
@@ -191,10 +193,11 @@
 
     /// Chooses a snapshot and asks for every shard of it.
     fn start(&mut self, view: &View) {
-        let Some(plan) = QueryPlan::new(view, &self.spec.services, &self.gone) else {
+        let Some(plan) = QueryPlan::new(view, &self.spec.services, &self.unserved_snapshots) else {
             let shards = declared_shards(view, &self.spec.services);
-            let missing = Progress::missing(Reason::NoReplica);
-            self.shards = shards.into_iter().map(|shard| ShardState::new(shard, missing)).collect();
+            let missing = ShardStatus::missing(Reason::NoReplica);
+            self.shards =
+                shards.into_iter().map(|shard| ShardProgress::new(shard, missing)).collect();
             return;
         };
         self.snapshot = Some(plan.snapshot);
@@ -202,36 +205,42 @@
             .shards
             .into_iter()
             .map(|(shard, is_served)| {
-                let missing = Progress::missing(Reason::NoReplica);
-                ShardState::new(shard, if is_served { Progress::Waiting } else { missing })
+                let missing = ShardStatus::missing(Reason::NoReplica);
+                ShardProgress::new(shard, if is_served { ShardStatus::Pending } else { missing })
             })
             .collect();
         for index in 0..self.shards.len() {
-            if self.shards[index].state == Progress::Waiting {
-                self.ask_next(index, view);
+            if self.shards[index].state == ShardStatus::Pending {
+                self.request_next_node(index, view);
             }
         }
     }
 
     /// Takes a node's answer.
-    fn replied(&mut self, now_us: u64, token: AskToken, outcome: SubOutcome, view: &View) {
-        let Some(index) = self.take_ask(token) else { return };
+    fn handle_reply(
+        &mut self,
+        now_us: u64,
+        token: ShardRequestToken,
+        outcome: SubOutcome,
+        view: &View,
+    ) {
+        let Some(index) = self.take_open_request(token) else { return };
         match outcome {
-            SubOutcome::Answered => self.shards[index].state = Progress::Covered(token),
+            SubOutcome::Answered => self.shards[index].state = ShardStatus::Covered(token),
             SubOutcome::NotHome { may_have_run } => {
                 self.may_have_run |= may_have_run;
-                self.ask_next(index, view);
+                self.request_next_node(index, view);
             }
             SubOutcome::NotRun { reason: Reason::NotHeld, retry_after_ms } => {
                 if !self.restart(now_us, view) {
-                    self.miss(index, Reason::NotHeld, retry_after_ms, false);
+                    self.mark_missing(index, Reason::NotHeld, retry_after_ms, false);
                 }
             }
             SubOutcome::NotRun { reason, retry_after_ms } => {
-                self.miss(index, reason, retry_after_ms, false);
+                self.mark_missing(index, reason, retry_after_ms, false);
             }
             SubOutcome::Unknown { reason } => {
-                self.miss(index, reason, DEFAULT_RETRY_AFTER_MS, true);
+                self.mark_missing(index, reason, DEFAULT_RETRY_AFTER_MS, true);
             }
         }
     }
@@ -241,45 +250,57 @@
     /// Guards against a home that died or is cut off while this node still ranks it first: it
     /// shows as a lost connection. The next in rank serves at one slot for each replica, so
     /// that both together stay within the stated overlap.
-    fn unreachable(
+    fn handle_unreachable(
         &mut self,
-        token: AskToken,
+        token: ShardRequestToken,
         may_have_arrived: bool,
         is_alive: bool,
         view: &View,
     ) {
-        let Some(index) = self.take_ask(token) else { return };
+        let Some(index) = self.take_open_request(token) else { return };
         if may_have_arrived && !self.spec.is_idempotent {
-            return self.miss(index, Reason::HomeUnreachable, DEFAULT_RETRY_AFTER_MS, true);
+            return self.mark_missing(index, Reason::HomeUnreachable, DEFAULT_RETRY_AFTER_MS, true);
         }
         self.may_have_run |= may_have_arrived;
         let shard = &mut self.shards[index];
-        if is_alive && !std::mem::replace(&mut shard.was_asked_anew, true) {
-            shard.hops -= 1;
+        if is_alive && !std::mem::replace(&mut shard.has_reconnected, true) {
+            shard.node_attempts -= 1;
         }
-        self.ask_next(index, view);
+        self.request_next_node(index, view);
     }
 
     /// Asks the best node that this shard was not offered to yet.
-    fn ask_next(&mut self, index: usize, view: &View) {
+    fn request_next_node(&mut self, index: usize, view: &View) {
         let shard = &self.shards[index];
         let group = view.groups.group_of(&shard.shard);
         let ranked = group.and_then(|group| view.homes.get(&group.name));
-        let hops = shard.hops as usize;
+        let hops = shard.node_attempts as usize;
         let next = ranked.and_then(|ranked| ranked.iter().cycle().nth(hops));
-        let (Some(node), Some(snapshot), true) = (next, self.snapshot, shard.hops < MAX_HOPS)
+        let (Some(node), Some(snapshot), true) =
+            (next, self.snapshot, shard.node_attempts < MAX_NODE_ATTEMPTS)
         else {
             let may_have_run = self.may_have_run;
-            return self.miss(index, Reason::HomeUnreachable, DEFAULT_RETRY_AFTER_MS, may_have_run);
+            return self.mark_missing(
+                index,
+                Reason::HomeUnreachable,
+                DEFAULT_RETRY_AFTER_MS,
+                may_have_run,
+            );
         };
         let is_fallback = ranked.and_then(|ranked| ranked.first()) != Some(node);
         let (node, shard_id) = (node.clone(), shard.shard.clone());
-        let token = AskToken(self.next_token);
+        let token = ShardRequestToken(self.next_token);
         self.next_token += 1;
         let shard = &mut self.shards[index];
-        shard.hops += 1;
-        shard.asked = Some(token);
-        self.effects.push(QueryEffect::Ask { token, node, shard: shard_id, snapshot, is_fallback });
+        shard.node_attempts += 1;
+        shard.open_request = Some(token);
+        self.effects.push(QueryEffect::RequestShard {
+            token,
+            node,
+            shard: shard_id,
+            snapshot,
+            is_fallback,
+        });
     }
 
     /// Starts again on another snapshot, if one promises more than this one still can.
@@ -289,40 +310,46 @@
         if is_over || now_us >= self.spec.soft_deadline_us {
             return false;
         }
-        self.gone.insert(old);
-        let Some(plan) = QueryPlan::new(view, &self.spec.services, &self.gone) else {
-            self.gone.swap_remove(&old);
+        self.unserved_snapshots.insert(old);
+        let Some(plan) = QueryPlan::new(view, &self.spec.services, &self.unserved_snapshots) else {
+            self.unserved_snapshots.swap_remove(&old);
             return false;
         };
         let open = self.shards.iter().filter(|shard| !shard.is_missing()).count();
         let promised = open.saturating_sub(1) as f64 / self.shards.len().max(1) as f64;
         if plan.fraction() <= promised {
-            self.gone.swap_remove(&old);
+            self.unserved_snapshots.swap_remove(&old);
             return false;
         }
         self.abandon_all();
         self.restarts += 1;
         let kind = EventKind::SnapshotChanged { from: old, to: plan.snapshot };
-        self.effects.push(QueryEffect::Note(kind));
+        self.effects.push(QueryEffect::RecordEvent(kind));
         self.start(view);
         true
     }
 
     /// Records that a shard will be missing.
-    fn miss(&mut self, index: usize, reason: Reason, retry_after_ms: u64, may_have_run: bool) {
-        self.shards[index].state = Progress::Missing { reason, retry_after_ms, may_have_run };
+    fn mark_missing(
+        &mut self,
+        index: usize,
+        reason: Reason,
+        retry_after_ms: u64,
+        may_have_run: bool,
+    ) {
+        self.shards[index].state = ShardStatus::Missing { reason, retry_after_ms, may_have_run };
     }
 
     /// Takes an ask off its shard; `None` for one that was given up.
-    fn take_ask(&mut self, token: AskToken) -> Option<usize> {
-        let index = self.shards.iter().position(|shard| shard.asked == Some(token))?;
-        self.shards[index].asked = None;
+    fn take_open_request(&mut self, token: ShardRequestToken) -> Option<usize> {
+        let index = self.shards.iter().position(|shard| shard.open_request == Some(token))?;
+        self.shards[index].open_request = None;
         Some(index)
     }
 
     /// Gives up on the ask of one shard.
-    fn abandon(&mut self, index: usize) {
-        if let Some(token) = self.shards[index].asked.take() {
+    fn abandon_request(&mut self, index: usize) {
+        if let Some(token) = self.shards[index].open_request.take() {
             self.effects.push(QueryEffect::Abandon { token });
         }
     }
@@ -330,50 +357,50 @@
     /// Gives up on all asks.
     fn abandon_all(&mut self) {
         for index in 0..self.shards.len() {
-            self.may_have_run |= self.shards[index].asked.is_some();
-            self.abandon(index);
+            self.may_have_run |= self.shards[index].open_request.is_some();
+            self.abandon_request(index);
         }
     }
 
     /// Answers the caller when nothing is open any more, or the time is over.
     fn finish_if_done(&mut self, now_us: u64) {
-        let is_open = self.shards.iter().any(|shard| shard.state == Progress::Waiting);
+        let is_open = self.shards.iter().any(|shard| shard.state == ShardStatus::Pending);
         if is_open && now_us < self.spec.soft_deadline_us {
             return;
         }
         self.is_finished = true;
         self.abandon_all();
         for shard in &mut self.shards {
-            if shard.state == Progress::Waiting {
-                shard.state = Progress::Missing {
+            if shard.state == ShardStatus::Pending {
+                shard.state = ShardStatus::Missing {
                     reason: Reason::DeadlineExceeded,
                     retry_after_ms: DEFAULT_RETRY_AFTER_MS,
                     may_have_run: true,
                 };
             }
         }
-        let end = self.end();
+        let end = self.build_end();
         self.effects.push(QueryEffect::Finish(end));
     }
 
     /// Puts the answer together.
-    fn end(&self) -> QueryEnd {
+    fn build_end(&self) -> QueryEnd {
         let mut coverage = Coverage::default();
         let mut bodies = Vec::new();
         let mut worst: Option<(Reason, u64)> = None;
         let mut may_have_run = self.may_have_run;
         for shard in &self.shards {
             match shard.state {
-                Progress::Covered(token) => {
+                ShardStatus::Covered(token) => {
                     coverage.covered.push(shard.shard.clone());
                     bodies.push(token);
                 }
-                Progress::Missing { reason, retry_after_ms, may_have_run: may_have } => {
+                ShardStatus::Missing { reason, retry_after_ms, may_have_run: may_have } => {
                     may_have_run |= may_have;
                     worst = worst.or(Some((reason, retry_after_ms)));
                     coverage.missing.push(MissingShard { shard: shard.shard.clone(), reason });
                 }
-                Progress::Waiting => {}
+                ShardStatus::Pending => {}
             }
         }
         coverage.fraction = bodies.len() as f64 / self.shards.len().max(1) as f64;
@@ -392,24 +419,24 @@
             outcome,
             snapshot: self.snapshot,
             coverage,
-            bodies,
+            body_tokens: bodies,
             reason,
             retry_after_ms: retry_after_ms.filter(|_| outcome != Outcome::Answered),
         }
     }
 }
 
-impl ShardState {
-    fn new(shard: ShardId, state: Progress) -> Self {
-        Self { shard, asked: None, hops: 0, was_asked_anew: false, state }
+impl ShardProgress {
+    fn new(shard: ShardId, state: ShardStatus) -> Self {
+        Self { shard, open_request: None, node_attempts: 0, has_reconnected: false, state }
     }
 
     fn is_missing(&self) -> bool {
-        matches!(self.state, Progress::Missing { .. })
+        matches!(self.state, ShardStatus::Missing { .. })
     }
 }
 
-impl Progress {
+impl ShardStatus {
     /// A shard that was never asked for.
     fn missing(reason: Reason) -> Self {
         Self::Missing { reason, retry_after_ms: DEFAULT_RETRY_AFTER_MS, may_have_run: false }
@@ -427,7 +454,8 @@
             candidates.extend(holdings.snapshots.iter().map(|held| held.id));
         }
         candidates.retain(|snapshot| !gone.contains(snapshot));
-        let plans = candidates.into_iter().map(|snapshot| Self::at(view, services, snapshot));
+        let plans =
+            candidates.into_iter().map(|snapshot| Self::at_snapshot(view, services, snapshot));
         plans.max_by(|a, b| {
             let by_coverage = a.fraction().partial_cmp(&b.fraction()).unwrap_or(Ordering::Equal);
             by_coverage.then(a.snapshot.cmp(&b.snapshot))
@@ -441,7 +469,7 @@
     }
 
     /// The shards of one snapshot.
-    fn at(view: &View, services: &[EcoString], snapshot: SnapshotId) -> Self {
+    fn at_snapshot(view: &View, services: &[EcoString], snapshot: SnapshotId) -> Self {
         let shards =
             services.iter().flat_map(|service| shards_at(view, service, snapshot)).collect();
         Self { snapshot, shards }
