--- a/crates/sassafrasproxy-core/src/lane/home.rs
+++ b/crates/sassafrasproxy-core/src/scheduler/home.rs
@@ -4,66 +4,66 @@
 use sassafrasproxy_wire::{EventKind, HandOver, ReplicaHandOver, SubOutcome};
 
 use super::replica::{Phase, Replica};
-use super::{Lane, LaneEffect, Role};
+use super::{HomeRole, Scheduler, SchedulerEffect};
 
-impl Lane {
+impl Scheduler {
     /// Takes the group over; without a hand-over every limit stays at 1 for a while.
     ///
     /// Guards against two nodes that each believe to be home: until views can no longer differ,
     /// this one adds at most one sub-request to what the other has in flight at a replica.
     pub(super) fn become_home(&mut self, now_us: u64, view_skew_us: u64) {
-        if matches!(self.role, Role::Home { .. }) {
+        if matches!(self.role, HomeRole::Home { .. }) {
             return;
         }
-        self.role = Role::Home { full_from_us: now_us + view_skew_us };
-        self.heard_sequence = None;
+        self.role = HomeRole::Home { limits_grow_from_us: now_us + view_skew_us };
+        self.last_hand_over_sequence = None;
         for replica in self.replicas.values_mut() {
             if replica.phase == Phase::Serving {
-                replica.turn_cold(now_us, "new_home");
+                replica.reset_to_cold(now_us, "new_home");
             }
         }
-        self.effects.push(LaneEffect::Publish);
+        self.effects.push(SchedulerEffect::PublishHoldings);
     }
 
     /// Lets the group go: what waits is sent back to its entry, what runs may end.
     pub(super) fn lose_home(&mut self, now_us: u64, me: EcoString) {
-        if !matches!(self.role, Role::Home { .. }) {
+        if !matches!(self.role, HomeRole::Home { .. }) {
             return;
         }
-        self.role = Role::Retired { sequence: 0 };
-        self.me = me;
+        self.role = HomeRole::FormerHome { sequence: 0 };
+        self.local_node = me;
         for key in std::mem::take(&mut self.queue) {
-            let may_have_run = self.subs.get(&key).is_some_and(|state| state.may_have_run);
-            self.end(key, SubOutcome::NotHome { may_have_run }, None);
+            let may_have_run = self.pending.get(&key).is_some_and(|state| state.may_have_run);
+            self.reply(key, SubOutcome::NotHome { may_have_run }, None);
         }
-        self.hand_over(now_us, 0);
+        self.send_hand_over(now_us, 0);
         for replica in self.replicas.values_mut() {
             replica.limit = 1;
         }
     }
 
     /// Tells the new home what it needs to know, or how many sends still run here.
-    fn hand_over(&mut self, now_us: u64, sequence: u64) {
+    fn send_hand_over(&mut self, now_us: u64, sequence: u64) {
         let replicas =
             self.replicas.values().map(|replica| self.replica_hand_over(replica, now_us));
         let given = HandOver {
             group: self.configuration.group.clone(),
-            from: self.me.clone(),
+            from: self.local_node.clone(),
             sequence,
             replicas: replicas.collect(),
         };
-        self.effects.push(LaneEffect::HandOver(given));
+        self.effects.push(SchedulerEffect::SendHandOver(given));
     }
 
     /// Frees the new home's slots as the last sends of the old one end.
     ///
     /// Guards against slots that stay kept until the old sends' deadlines: where few replicas
     /// are left, as with a failure domain out, queries would wait for them in vain.
-    pub(super) fn tell_new_home(&mut self, now_us: u64) {
-        if let Role::Retired { sequence } = &mut self.role {
+    pub(super) fn report_to_new_home(&mut self, now_us: u64) {
+        if let HomeRole::FormerHome { sequence } = &mut self.role {
             *sequence += 1;
             let sequence = *sequence;
-            self.hand_over(now_us, sequence);
+            self.send_hand_over(now_us, sequence);
         }
     }
 
@@ -72,25 +72,25 @@
         let running =
             self.attempts.values().filter(|attempt| attempt.replica == replica.spec.address);
         let busy_until_us = running.map(|attempt| attempt.deadline_us).max().unwrap_or(0);
-        replica.hand_over(busy_until_us, now_us)
+        replica.to_hand_over(busy_until_us, now_us)
     }
 
     /// Takes over what the old home had learned, which ends the narrow start.
-    pub(super) fn adopt(&mut self, now_us: u64, given: &HandOver) {
-        let Role::Home { full_from_us } = &mut self.role else { return };
+    pub(super) fn apply_hand_over(&mut self, now_us: u64, given: &HandOver) {
+        let HomeRole::Home { limits_grow_from_us: full_from_us } = &mut self.role else { return };
         let is_first = given.sequence == 0;
-        let is_latest = self.heard_sequence.is_none_or(|heard| given.sequence > heard);
+        let is_latest = self.last_hand_over_sequence.is_none_or(|heard| given.sequence > heard);
         for one in &given.replicas {
             let Some(replica) = self.replicas.get_mut(&one.address) else { continue };
             if is_first {
-                replica.adopt(one, self.configuration.policy.slots, now_us);
+                replica.apply_hand_over(one, self.configuration.policy.slots, now_us);
             }
             if is_latest {
-                replica.lend(one, now_us);
+                replica.reserve_for_old_home(one, now_us);
             }
         }
         if is_latest {
-            self.heard_sequence = Some(given.sequence);
+            self.last_hand_over_sequence = Some(given.sequence);
         }
         if !is_first {
             return;
@@ -100,14 +100,14 @@
             group: self.configuration.group.clone(),
             from: given.from.clone(),
         };
-        self.effects.push(LaneEffect::Note { sub: None, kind });
+        self.effects.push(SchedulerEffect::RecordEvent { sub_request: None, kind });
     }
 
     /// Whether limits may grow now.
-    pub(super) fn may_grow(&self, now_us: u64) -> bool {
+    pub(super) fn may_grow_limits(&self, now_us: u64) -> bool {
         match self.role {
-            Role::Home { full_from_us } => now_us >= full_from_us,
-            Role::Fallback | Role::Retired { .. } => false,
+            HomeRole::Home { limits_grow_from_us: full_from_us } => now_us >= full_from_us,
+            HomeRole::Fallback | HomeRole::FormerHome { .. } => false,
         }
     }
 }
--- a/crates/sassafrasproxy-core/src/lane/message.rs
+++ b/crates/sassafrasproxy-core/src/scheduler/message.rs
@@ -6,7 +6,7 @@
 
 /// A sub-request, numbered by the shell; unique in a lane.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct SubKey(pub u64);
+pub struct SubRequestId(pub u64);
 
 /// One send of a sub-request, numbered by the lane.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -14,7 +14,7 @@
 
 /// What a lane serves and how.
 #[derive(Debug, Clone, PartialEq)]
-pub struct LaneConfiguration {
+pub struct SchedulerConfiguration {
     /// The replica group.
     pub group: EcoString,
     /// The service.
@@ -22,11 +22,11 @@
     /// The group's replicas.
     pub replicas: Vec<ReplicaSpec>,
     /// Limits and times.
-    pub policy: LanePolicy,
+    pub policy: SchedulerPolicy,
     /// Failure domains that get no new work.
     pub domains_out: IndexSet<EcoString>,
     /// Addresses that the platform's VM list says are leaving.
-    pub leaving: IndexSet<EcoString>,
+    pub leaving_upstreams: IndexSet<EcoString>,
 }
 
 /// One replica of a lane.
@@ -42,76 +42,76 @@
 
 /// Limits and times of a lane.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct LanePolicy {
+pub struct SchedulerPolicy {
     /// The most sub-requests in flight at one replica; at least 1.
     pub slots: u32,
     /// The most sub-requests that wait.
-    pub queue: u32,
+    pub max_queued: u32,
     /// Hedges and retries as a fraction of the base load, 0 to 1.
-    pub extra_fraction: f64,
+    pub budget_fraction: f64,
     /// The most hedges and retries saved up.
-    pub extra_cap: f64,
+    pub budget_max_tokens: f64,
     /// The quantile of a shard's latencies after which a hedge starts.
     pub hedge_quantile: f64,
     /// What cannot end in time is not sent: its run is taken to last this quantile.
-    pub run_quantile: f64,
+    pub run_time_quantile: f64,
     /// The least time between two steps of a cold replica's limit.
-    pub ramp_step_us: u64,
+    pub min_ramp_step_us: u64,
     /// The good answers that each slot of a cold replica's limit takes to grow by one.
-    pub ramp_answers: u32,
+    pub ramp_answers_per_slot: u32,
     /// An answer up to this many times as slow as the group's quickest replica is a warm one.
     pub warm_factor: f64,
     /// A latency this many times the replica's norm is slow.
     pub slow_factor: f64,
     /// A send is silent after this many times the replica's norm without any answer from it.
-    pub silence_factor: u64,
+    pub quiet_replica_stall_factor: u64,
     /// The same where the replica did answer something else since.
-    pub stuck_factor: u64,
+    pub active_replica_stall_factor: u64,
     /// A send is never silent before this.
-    pub least_silence_us: u64,
+    pub min_stall_us: u64,
     /// The pause after a shed request that names none.
-    pub shed_pause_us: u64,
+    pub min_shed_pause_us: u64,
     /// The longest pause that an upstream can ask for.
-    pub longest_pause_us: u64,
+    pub max_shed_pause_us: u64,
     /// How long a replica is not asked for a shard that it said it does not hold.
-    pub denied_us: u64,
+    pub not_held_ttl_us: u64,
     /// When to come back after a refusal for load.
-    pub overload_retry_us: u64,
+    pub overload_retry_after_us: u64,
     /// How long a quarantine lasts.
-    pub quarantine_us: u64,
+    pub quarantine_ttl_us: u64,
 }
 
-impl LanePolicy {
+impl SchedulerPolicy {
     /// The defaults for a service's limits.
-    pub fn new(slots: u32, queue: u32) -> Self {
+    pub fn new(slots: u32, max_queued: u32) -> Self {
         Self {
             slots: slots.max(1),
-            queue,
-            extra_fraction: 0.05,
-            extra_cap: 10.0,
+            max_queued,
+            budget_fraction: 0.05,
+            budget_max_tokens: 10.0,
             hedge_quantile: 0.95,
-            run_quantile: 0.9,
-            ramp_step_us: 200_000,
-            ramp_answers: 8,
+            run_time_quantile: 0.9,
+            min_ramp_step_us: 200_000,
+            ramp_answers_per_slot: 8,
             warm_factor: 2.0,
             slow_factor: 5.0,
-            silence_factor: 6,
-            stuck_factor: 10,
-            least_silence_us: 15_000,
-            shed_pause_us: 20_000,
-            longest_pause_us: 2_000_000,
-            denied_us: 1_000_000,
-            overload_retry_us: 50_000,
-            quarantine_us: 60_000_000,
+            quiet_replica_stall_factor: 6,
+            active_replica_stall_factor: 10,
+            min_stall_us: 15_000,
+            min_shed_pause_us: 20_000,
+            max_shed_pause_us: 2_000_000,
+            not_held_ttl_us: 1_000_000,
+            overload_retry_after_us: 50_000,
+            quarantine_ttl_us: 60_000_000,
         }
     }
 }
 
 /// A sub-request as a lane sees it; its body stays with the shell.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Sub {
+pub struct SubRequestSpec {
     /// Its key.
-    pub key: SubKey,
+    pub id: SubRequestId,
     /// The shard.
     pub shard: EcoString,
     /// The snapshot that the answer must come from.
@@ -128,9 +128,9 @@
 
 /// What a lane takes in.
 #[derive(Debug, Clone, PartialEq)]
-pub enum LaneEvent {
+pub enum SchedulerEvent {
     /// A sub-request came.
-    Submit(Sub),
+    Submit(SubRequestSpec),
     /// A send ended.
     Finished {
         /// The send.
@@ -144,21 +144,21 @@
         attempt: AttemptId,
     },
     /// Nobody waits for a sub-request any more.
-    GiveUp {
+    Abandon {
         /// The sub-request.
-        sub: SubKey,
+        sub_request: SubRequestId,
     },
     /// A replica's status was read or could not be.
     Status {
         /// The replica.
         replica: EcoString,
         /// The number of the probe that this answers, if it was one.
-        probe: Option<u64>,
+        probe_id: Option<u64>,
         /// What came back.
         report: StatusReport,
     },
     /// The configuration or the VM list changed.
-    Reconfigure(LaneConfiguration),
+    Reconfigure(SchedulerConfiguration),
     /// This node is the group's home from now on.
     BecomeHome {
         /// How long two nodes may both believe to be home.
@@ -167,10 +167,10 @@
     /// This node is the group's home no more.
     LoseHome {
         /// This node's name.
-        me: EcoString,
+        local_node: EcoString,
     },
     /// The old home handed its state over.
-    HandedOver(HandOver),
+    HandOverReceived(HandOver),
     /// Another lane or node found that a request crashes upstreams.
     Quarantine {
         /// A hash of kind and body.
@@ -240,13 +240,13 @@
 
 /// What a lane asks its shell to do.
 #[derive(Debug, Clone, PartialEq)]
-pub enum LaneEffect {
+pub enum SchedulerEffect {
     /// Send a sub-request to a replica.
     Send {
         /// The send; it must end in exactly one event.
         attempt: AttemptId,
         /// The sub-request.
-        sub: SubKey,
+        sub_request: SubRequestId,
         /// The replica.
         replica: EcoString,
     },
@@ -258,14 +258,14 @@
     /// Answer a sub-request.
     Reply {
         /// The sub-request.
-        sub: SubKey,
+        sub_request: SubRequestId,
         /// The answer.
         outcome: SubOutcome,
         /// The send whose body belongs to it.
         attempt: Option<AttemptId>,
     },
     /// Use only new connections to a replica from now on.
-    Condemn {
+    RetireConnections {
         /// The replica.
         replica: EcoString,
     },
@@ -274,23 +274,23 @@
         /// The replica.
         replica: EcoString,
         /// The number to report it under.
-        number: u64,
+        probe_id: u64,
     },
     /// Tell the other lanes and nodes that a request crashes upstreams.
-    Quarantined {
+    AnnounceQuarantine {
         /// A hash of kind and body.
         fingerprint: u64,
         /// How long to refuse it.
         ttl_us: u64,
     },
     /// Hand the group to its new home.
-    HandOver(HandOver),
+    SendHandOver(HandOver),
     /// Publish the group's holdings; they may have changed.
-    Publish,
+    PublishHoldings,
     /// Put an event on the time line.
-    Note {
+    RecordEvent {
         /// The sub-request that it belongs to.
-        sub: Option<SubKey>,
+        sub_request: Option<SubRequestId>,
         /// What happened.
         kind: EventKind,
     },
--- a/crates/sassafrasproxy-core/src/view.rs
+++ b/crates/sassafrasproxy-core/src/view.rs
@@ -12,7 +12,7 @@
 #[derive(Debug, Clone, Default)]
 pub struct View {
     /// This node's name.
-    pub me: EcoString,
+    pub local_node: EcoString,
     /// Whether this node shuts down.
     pub leaving: bool,
     /// The configuration in force; revision 0 before the first.
@@ -31,7 +31,7 @@
 
 impl View {
     /// How many nodes of each group's ranking are kept: the home and two to fall back to.
-    pub const RANKS: usize = 3;
+    pub const MAX_RANKED_NODES: usize = 3;
 
     /// The home of a group.
     pub fn home(&self, group: &str) -> Option<&EcoString> {
@@ -39,7 +39,7 @@
     }
 
     /// The home of a bucket of claims: one of the members that may be homes.
-    pub fn claim_home(&self, bucket: u32) -> Option<&EcoString> {
+    pub fn claim_bucket_home(&self, bucket: u32) -> Option<&EcoString> {
         let out = &self.configuration.domains_out;
         let score = |member: &&Member| {
             let is_in = !out.contains(&member.failure_domain);
@@ -51,6 +51,6 @@
 
     /// Whether this node is the home of a group.
     pub fn is_home(&self, group: &str) -> bool {
-        self.home(group) == Some(&self.me)
+        self.home(group) == Some(&self.local_node)
     }
 }
--- a/crates/sassafrasproxy-core/tests/cluster/mod.rs
+++ b/crates/sassafrasproxy-core/tests/cluster/mod.rs
@@ -4,7 +4,7 @@
 
 use ecow::{EcoString, eco_format};
 use indexmap::{IndexMap, IndexSet};
-use sassafrasproxy_core::{Control, ControlEffect, ControlEvent, ControlPolicy, View};
+use sassafrasproxy_core::{ControlEffect, ControlEvent, ControlPlane, ControlPolicy, View};
 use sassafrasproxy_wire::{
     Configuration, Heartbeat, Hlc, Limits, MemberState, MemberUpdate, ServiceSpec, UpstreamSpec,
 };
@@ -19,7 +19,7 @@
 
 /// Something that is due at a node.
 #[derive(Debug, Clone)]
-enum Due {
+enum ScheduledEvent {
     Tick { node: usize },
     Probe { from: usize, to: usize, heartbeat: Heartbeat, sent_us: u64, is_indirect: bool },
     Answer { to: usize, heartbeat: Heartbeat },
@@ -31,19 +31,19 @@
 pub struct Cluster {
     pub now_us: u64,
     pub policy: ControlPolicy,
-    pub nodes: Vec<Control>,
+    pub nodes: Vec<ControlPlane>,
     pub is_up: Vec<bool>,
     /// Pairs that cannot talk, both ways.
-    pub cuts: IndexSet<(usize, usize)>,
+    pub blocked_links: IndexSet<(usize, usize)>,
     /// When each node took each revision.
-    pub adopted: Vec<Vec<(u64, u64)>>,
+    pub revision_history: Vec<Vec<(u64, u64)>>,
     pub store: Configuration,
     pub is_store_up: bool,
     pub store_reads: u64,
     pub watching: Vec<bool>,
     pub messages: u64,
     pub bytes: u64,
-    due: std::collections::BTreeMap<(u64, u64), Due>,
+    scheduled: std::collections::BTreeMap<(u64, u64), ScheduledEvent>,
     sequence: u64,
 }
 
@@ -55,15 +55,15 @@
             policy,
             nodes: Vec::new(),
             is_up: Vec::new(),
-            cuts: IndexSet::new(),
-            adopted: Vec::new(),
+            blocked_links: IndexSet::new(),
+            revision_history: Vec::new(),
             store: Configuration::default(),
             is_store_up: true,
             store_reads: 0,
             watching: Vec::new(),
             messages: 0,
             bytes: 0,
-            due: std::collections::BTreeMap::new(),
+            scheduled: std::collections::BTreeMap::new(),
             sequence: 0,
         };
         for number in 0..count {
@@ -74,7 +74,7 @@
 
     pub fn join(&mut self, number: usize, domains: usize) {
         let me = MemberUpdate {
-            node: name(number),
+            node: node_name(number),
             peer_address: address(number),
             address: eco_format!("10.1.{}.{}:7001", number / 250, number % 250),
             failure_domain: eco_format!("domain-{}", number % domains),
@@ -83,25 +83,25 @@
             state: MemberState::Alive,
             incarnation: 1_000 + self.now_us / MS,
         };
-        let control = Control::new(&me, [address(0)], self.policy, number as u64, self.now_us);
+        let control = ControlPlane::new(&me, [address(0)], self.policy, number as u64, self.now_us);
         if number < self.nodes.len() {
             self.nodes[number] = control;
             self.is_up[number] = true;
         } else {
             self.nodes.push(control);
             self.is_up.push(true);
-            self.adopted.push(Vec::new());
+            self.revision_history.push(Vec::new());
             self.watching.push(false);
             // Ticks are spread, as those of processes that start at their own times are.
-            let offset_us = number as u64 * 7_919 % self.policy.heartbeat_us;
-            self.push(offset_us, Due::Tick { node: number });
+            let offset_us = number as u64 * 7_919 % self.policy.heartbeat_interval_us;
+            self.schedule(offset_us, ScheduledEvent::Tick { node: number });
         }
     }
 
     /// Lets time pass.
-    pub fn run(&mut self, us: u64) {
+    pub fn advance(&mut self, us: u64) {
         let end_us = self.now_us + us;
-        while let Some(entry) = self.due.first_entry() {
+        while let Some(entry) = self.scheduled.first_entry() {
             if entry.key().0 > end_us {
                 break;
             }
@@ -116,13 +116,13 @@
     pub fn publish(&mut self, change: impl FnOnce(&mut Configuration)) {
         change(&mut self.store);
         self.store.revision += 1;
-        self.tell_watchers();
+        self.notify_watchers();
     }
 
     /// Cuts two sets of nodes off from each other.
-    pub fn split(&mut self, left: &[usize], right: &[usize]) {
+    pub fn partition(&mut self, left: &[usize], right: &[usize]) {
         for a in left {
-            self.cuts.extend(right.iter().flat_map(|b| [(*a, *b), (*b, *a)]));
+            self.blocked_links.extend(right.iter().flat_map(|b| [(*a, *b), (*b, *a)]));
         }
     }
 
@@ -138,10 +138,10 @@
 
     /// The state of a member in a node's view.
     pub fn state_seen_by(&self, node: usize, member: usize) -> Option<MemberState> {
-        self.nodes[node].members().member(&name(member)).map(|member| member.state)
+        self.nodes[node].members().member(&node_name(member)).map(|member| member.state)
     }
 
-    fn tell_watchers(&mut self) {
+    fn notify_watchers(&mut self) {
         if !self.is_store_up {
             return;
         }
@@ -150,39 +150,42 @@
                 self.store_reads += 1;
                 let configuration = self.store.clone();
                 let at_us = self.now_us + LATENCY_US;
-                self.push(at_us, Due::Configuration { to: node, configuration });
+                self.schedule(at_us, ScheduledEvent::Configuration { to: node, configuration });
             }
         }
     }
 
-    fn handle(&mut self, due: Due) {
+    fn handle(&mut self, due: ScheduledEvent) {
         match due {
-            Due::Tick { node } => {
-                self.push(self.now_us + self.policy.heartbeat_us, Due::Tick { node });
+            ScheduledEvent::Tick { node } => {
+                self.schedule(
+                    self.now_us + self.policy.heartbeat_interval_us,
+                    ScheduledEvent::Tick { node },
+                );
                 self.step(node, ControlEvent::Tick);
             }
-            Due::Probe { from, to, heartbeat, sent_us, is_indirect } => {
-                if !self.can_talk(from, to) {
+            ScheduledEvent::Probe { from, to, heartbeat, sent_us, is_indirect } => {
+                if !self.can_reach(from, to) {
                     let at_us = sent_us + PROBE_TIMEOUT_US;
-                    let due = Due::Failed { to: from, peer: to, sent_us, is_indirect };
-                    return self.push(at_us, due);
+                    let due = ScheduledEvent::Failed { to: from, peer: to, sent_us, is_indirect };
+                    return self.schedule(at_us, due);
                 }
                 let answer = self.nodes[to].heartbeat(Hlc::default(), Some(&heartbeat));
-                self.step(to, ControlEvent::HeartbeatHeard(heartbeat));
-                self.count(&answer);
+                self.step(to, ControlEvent::HeartbeatReceived(heartbeat));
+                self.record_message(&answer);
                 let at_us = self.now_us + LATENCY_US;
-                self.push(at_us, Due::Answer { to: from, heartbeat: answer });
+                self.schedule(at_us, ScheduledEvent::Answer { to: from, heartbeat: answer });
             }
-            Due::Answer { to, heartbeat } => {
-                self.step(to, ControlEvent::HeartbeatHeard(heartbeat));
+            ScheduledEvent::Answer { to, heartbeat } => {
+                self.step(to, ControlEvent::HeartbeatReceived(heartbeat));
             }
-            Due::Failed { to, peer, sent_us, is_indirect } => {
+            ScheduledEvent::Failed { to, peer, sent_us, is_indirect } => {
                 let peer_address = address(peer);
                 let event = ControlEvent::ProbeFailed { peer_address, sent_us, is_indirect };
                 self.step(to, event);
             }
-            Due::Configuration { to, configuration } => {
-                self.step(to, ControlEvent::ConfigurationSeen(configuration));
+            ScheduledEvent::Configuration { to, configuration } => {
+                self.step(to, ControlEvent::ConfigurationReceived(configuration));
             }
         }
     }
@@ -193,45 +196,46 @@
         }
         let before = self.nodes[node].revision();
         for effect in self.nodes[node].step(self.now_us, event) {
-            self.carry_out(node, effect);
+            self.apply_effect(node, effect);
         }
         let after = self.nodes[node].revision();
         assert!(after >= before, "a revision never reverts");
         if after > before {
-            self.adopted[node].push((after, self.now_us));
+            self.revision_history[node].push((after, self.now_us));
         }
     }
 
-    fn carry_out(&mut self, node: usize, effect: ControlEffect) {
+    fn apply_effect(&mut self, node: usize, effect: ControlEffect) {
         match effect {
             ControlEffect::Probe { peer_address } => {
-                self.probe(node, number_of(&peer_address), false);
+                self.probe(node, node_index(&peer_address), false);
             }
-            ControlEffect::ProbeVia { vias, peer_address } => {
-                let to = number_of(&peer_address);
-                let vias: Vec<usize> = vias.iter().map(number_of).collect();
+            ControlEffect::ProbeIndirectly { via_peer_addresses: vias, peer_address } => {
+                let to = node_index(&peer_address);
+                let vias: Vec<usize> = vias.iter().map(node_index).collect();
                 let via = vias
                     .into_iter()
-                    .find(|via| self.can_talk(node, *via) && self.can_talk(*via, to));
+                    .find(|via| self.can_reach(node, *via) && self.can_reach(*via, to));
                 match via {
                     Some(via) => self.probe(via, to, true),
                     None => {
                         let (sent_us, at_us) = (self.now_us, self.now_us + PROBE_TIMEOUT_US);
                         let is_indirect = true;
-                        let due = Due::Failed { to: node, peer: to, sent_us, is_indirect };
-                        self.push(at_us, due);
+                        let due =
+                            ScheduledEvent::Failed { to: node, peer: to, sent_us, is_indirect };
+                        self.schedule(at_us, due);
                     }
                 }
             }
             ControlEffect::PullConfiguration { peer_address } => {
-                let peer = number_of(&peer_address);
-                if self.can_talk(node, peer) {
+                let peer = node_index(&peer_address);
+                if self.can_reach(node, peer) {
                     let configuration = (*self.nodes[peer].view().configuration).clone();
                     let at_us = self.now_us + 2 * LATENCY_US;
-                    self.push(at_us, Due::Configuration { to: node, configuration });
+                    self.schedule(at_us, ScheduledEvent::Configuration { to: node, configuration });
                 }
             }
-            ControlEffect::Watch { is_on } => {
+            ControlEffect::WatchStore { is_on } => {
                 self.watching[node] = is_on;
                 if is_on && self.is_store_up && self.store.revision > 0 {
                     self.read_store(node);
@@ -245,38 +249,41 @@
             ControlEffect::PullHoldings { .. }
             | ControlEffect::PushHoldings { .. }
             | ControlEffect::ReadVmList
-            | ControlEffect::Publish
-            | ControlEffect::Note(_) => {}
+            | ControlEffect::PublishView
+            | ControlEffect::RecordEvent(_) => {}
         }
     }
 
     fn read_store(&mut self, node: usize) {
         self.store_reads += 1;
         let configuration = self.store.clone();
-        self.push(self.now_us + LATENCY_US, Due::Configuration { to: node, configuration });
+        self.schedule(
+            self.now_us + LATENCY_US,
+            ScheduledEvent::Configuration { to: node, configuration },
+        );
     }
 
     fn probe(&mut self, from: usize, to: usize, is_indirect: bool) {
         let heartbeat = self.nodes[from].heartbeat(Hlc::default(), None);
-        self.count(&heartbeat);
+        self.record_message(&heartbeat);
         let sent_us = self.now_us;
-        let due = Due::Probe { from, to, heartbeat, sent_us, is_indirect };
-        self.push(self.now_us + LATENCY_US, due);
+        let due = ScheduledEvent::Probe { from, to, heartbeat, sent_us, is_indirect };
+        self.schedule(self.now_us + LATENCY_US, due);
     }
 
-    fn count(&mut self, heartbeat: &Heartbeat) {
+    fn record_message(&mut self, heartbeat: &Heartbeat) {
         self.messages += 1;
         self.bytes += serde_json::to_vec(heartbeat).unwrap().len() as u64;
     }
 
-    fn can_talk(&self, a: usize, b: usize) -> bool {
+    fn can_reach(&self, a: usize, b: usize) -> bool {
         let is_known = b < self.nodes.len();
-        is_known && self.is_up[a] && self.is_up[b] && !self.cuts.contains(&(a, b))
+        is_known && self.is_up[a] && self.is_up[b] && !self.blocked_links.contains(&(a, b))
     }
 
-    fn push(&mut self, at_us: u64, due: Due) {
+    fn schedule(&mut self, at_us: u64, due: ScheduledEvent) {
         self.sequence += 1;
-        self.due.insert((at_us, self.sequence), due);
+        self.scheduled.insert((at_us, self.sequence), due);
     }
 }
 
@@ -303,7 +310,7 @@
     (0..groups).map(service).collect()
 }
 
-pub fn name(number: usize) -> EcoString {
+pub fn node_name(number: usize) -> EcoString {
     eco_format!("vm-{number}")
 }
 
@@ -311,7 +318,7 @@
     eco_format!("10.0.{}.{}:7002", number / 250, number % 250)
 }
 
-fn number_of(address: &EcoString) -> usize {
+fn node_index(address: &EcoString) -> usize {
     let octets: Vec<usize> = address.split([':', '.']).map(|part| part.parse().unwrap()).collect();
     octets[2] * 250 + octets[3]
 }
--- a/crates/sassafrasproxy-core/tests/in_force.rs
+++ b/crates/sassafrasproxy-core/tests/configuration_propagation.rs
@@ -11,10 +11,10 @@
 use sassafrasproxy_wire::{GroupHoldings, Hlc, NodeHoldings, SnapshotHolding};
 
 /// How long until every node that is up has the store's revision, in milliseconds.
-fn settle_ms(cluster: &mut Cluster, limit_ms: u64) -> u64 {
+fn convergence_ms(cluster: &mut Cluster, limit_ms: u64) -> u64 {
     let start_us = cluster.now_us;
     while cluster.now_us < start_us + limit_ms * MS {
-        cluster.run(10 * MS);
+        cluster.advance(10 * MS);
         let wanted = cluster.store.revision;
         let has =
             |(node, is_up): (usize, &bool)| !is_up || cluster.nodes[node].revision() == wanted;
@@ -26,11 +26,11 @@
 }
 
 #[test]
-fn eight_nodes() {
+fn small_cluster() {
     let mut cluster = Cluster::start(8, 4, ControlPolicy::default());
-    cluster.run(3_000 * MS);
+    cluster.advance(3_000 * MS);
     cluster.publish(|configuration| configuration.services = services(50, 4));
-    assert!(settle_ms(&mut cluster, 2_000) < 2_000);
+    assert!(convergence_ms(&mut cluster, 2_000) < 2_000);
     let homes: IndexMap<_, _> = (*cluster.view(0).homes).clone();
     for node in 1..8 {
         assert_eq!(*cluster.view(node).homes, homes, "all agree on the homes");
@@ -40,20 +40,20 @@
 // At the planned size a configuration must be in force everywhere within 8 s, and the store must
 // not be read by every node. `IN_FORCE_NODES=1000`, with `--release`, runs that size.
 #[test]
-fn many_nodes() {
+fn large_cluster() {
     let count = std::env::var("IN_FORCE_NODES").map_or(120, |count| count.parse().unwrap());
     let mut cluster = Cluster::start(count, 18, ControlPolicy::default());
     cluster.publish(|configuration| configuration.services = services(10, 18));
     let has_all = |cluster: &Cluster, node| cluster.alive_seen_by(node) == count;
     while !(0..count).all(|node| has_all(&cluster, node)) {
-        cluster.run(1_000 * MS);
+        cluster.advance(1_000 * MS);
         assert!(cluster.now_us < 120_000 * MS, "all have joined");
     }
     println!("all joined after {} s", cluster.now_us / MS / 1_000);
     cluster.store_reads = 0;
     let before = (cluster.messages, cluster.bytes);
     cluster.publish(|configuration| configuration.services = services(20, 18));
-    let took_ms = settle_ms(&mut cluster, 8_000);
+    let took_ms = convergence_ms(&mut cluster, 8_000);
     let messages = cluster.messages - before.0;
     println!("{messages} heartbeats, {} bytes", cluster.bytes - before.1);
     println!("in force after {took_ms} ms, {} reads of the store", cluster.store_reads);
@@ -64,13 +64,13 @@
 #[test]
 fn domain_out() {
     let mut cluster = Cluster::start(8, 4, ControlPolicy::default());
-    cluster.run(3_000 * MS);
+    cluster.advance(3_000 * MS);
     cluster.publish(|configuration| configuration.services = services(50, 4));
-    settle_ms(&mut cluster, 2_000);
+    convergence_ms(&mut cluster, 2_000);
     cluster.publish(|configuration| {
         configuration.domains_out.insert("domain-1".into());
     });
-    assert!(settle_ms(&mut cluster, 2_000) < 2_000);
+    assert!(convergence_ms(&mut cluster, 2_000) < 2_000);
     for node in 0..8 {
         let view = cluster.view(node);
         let is_out = |home: &EcoString| view.members[home].failure_domain == "domain-1";
@@ -80,15 +80,15 @@
 
 // The store is down when a VM is replaced. The fresh one must boot from its peers.
 #[test]
-fn store_down() {
+fn join_without_store() {
     let mut cluster = Cluster::start(8, 4, ControlPolicy::default());
     cluster.publish(|configuration| configuration.services = services(10, 4));
-    settle_ms(&mut cluster, 5_000);
+    convergence_ms(&mut cluster, 5_000);
     cluster.is_store_up = false;
     cluster.is_up[5] = false;
-    cluster.run(5_000 * MS);
+    cluster.advance(5_000 * MS);
     cluster.join(5, 4);
-    assert!(settle_ms(&mut cluster, 5_000) < 5_000);
+    assert!(convergence_ms(&mut cluster, 5_000) < 5_000);
 }
 
 // A slow read of the store, or a peer that lags, brings an old configuration after a newer one.
@@ -98,12 +98,12 @@
     let mut cluster = Cluster::start(2, 2, ControlPolicy::default());
     cluster.publish(|configuration| configuration.services = services(3, 2));
     let old = cluster.store.clone();
-    settle_ms(&mut cluster, 5_000);
+    convergence_ms(&mut cluster, 5_000);
     cluster.publish(|configuration| {
         configuration.domains_out.insert("domain-1".into());
     });
-    settle_ms(&mut cluster, 5_000);
-    let effects = cluster.nodes[0].step(cluster.now_us, ControlEvent::ConfigurationSeen(old));
+    convergence_ms(&mut cluster, 5_000);
+    let effects = cluster.nodes[0].step(cluster.now_us, ControlEvent::ConfigurationReceived(old));
     assert!(effects.is_empty());
     assert_eq!(cluster.nodes[0].revision(), 2);
 }
@@ -112,43 +112,47 @@
 fn rejected_revision() {
     let mut cluster = Cluster::start(1, 1, ControlPolicy::default());
     cluster.publish(|configuration| configuration.services = services(3, 1));
-    settle_ms(&mut cluster, 5_000);
+    convergence_ms(&mut cluster, 5_000);
     let rejected = |revision| ControlEvent::ConfigurationRejected { revision, detail: "x".into() };
     let node = &mut cluster.nodes[0];
     assert_eq!(node.step(cluster.now_us, rejected(2)).len(), 1, "said loudly, once");
     assert!(node.step(cluster.now_us, rejected(2)).is_empty());
-    assert_eq!((node.revision(), node.rejected().map(|one| one.0)), (1, Some(2)));
+    assert_eq!((node.revision(), node.rejected_revision().map(|one| one.0)), (1, Some(2)));
 }
 
 // A node starts and hears what a home serves before it has the configuration. Users would get
 // answers without that home's shards for good: the node drops what it cannot place, and must
 // not take the version for known, but ask for it again.
 #[test]
-fn early_holdings() {
+fn holdings_before_configuration() {
     let mut cluster = Cluster::start(2, 2, ControlPolicy::default());
-    cluster.run(2_000 * MS);
+    cluster.advance(2_000 * MS);
     let group = GroupHoldings {
         group: "service-0/s0".into(),
-        home: cluster::name(1),
+        home: cluster::node_name(1),
         made_at: Hlc { wall_ms: 1, count: 0 },
         snapshots: Vec::new(),
     };
-    let holdings =
-        NodeHoldings { node: cluster::name(1), version: 1, is_whole: true, groups: vec![group] };
+    let holdings = NodeHoldings {
+        node: cluster::node_name(1),
+        version: 1,
+        is_whole: true,
+        groups: vec![group],
+    };
     let now_us = cluster.now_us;
     let mut heartbeat = cluster.nodes[1].heartbeat(Hlc::default(), None);
     heartbeat.holdings_version = 1;
     let is_pull = |effect: &ControlEffect| matches!(effect, ControlEffect::PullHoldings { .. });
     let node = &mut cluster.nodes[0];
-    node.step(now_us, ControlEvent::HoldingsHeard(holdings.clone()));
-    let effects = node.step(now_us, ControlEvent::HeartbeatHeard(heartbeat.clone()));
+    node.step(now_us, ControlEvent::HoldingsReceived(holdings.clone()));
+    let effects = node.step(now_us, ControlEvent::HeartbeatReceived(heartbeat.clone()));
     assert!(effects.iter().any(is_pull), "asks again");
 
     cluster.publish(|configuration| configuration.services = services(1, 2));
-    settle_ms(&mut cluster, 2_000);
+    convergence_ms(&mut cluster, 2_000);
     let node = &mut cluster.nodes[0];
-    node.step(now_us, ControlEvent::HoldingsHeard(holdings));
-    let effects = node.step(now_us, ControlEvent::HeartbeatHeard(heartbeat));
+    node.step(now_us, ControlEvent::HoldingsReceived(holdings));
+    let effects = node.step(now_us, ControlEvent::HeartbeatReceived(heartbeat));
     assert!(!effects.iter().any(is_pull), "now it is known");
     assert_eq!(node.view().holdings.len(), 1);
 }
@@ -157,11 +161,11 @@
 // moment later it finds the true home, whose word is older. Users of this node would get answers
 // without that group's shards for good if the latest word counted.
 #[test]
-fn momentary_home() {
+fn short_lived_home() {
     let mut cluster = Cluster::start(8, 4, ControlPolicy::default());
     cluster.publish(|configuration| configuration.services = services(8, 4));
-    settle_ms(&mut cluster, 5_000);
-    cluster.run(2_000 * MS);
+    convergence_ms(&mut cluster, 5_000);
+    cluster.advance(2_000 * MS);
     let view = cluster.view(0);
     let (group, ranked) = view.homes.iter().find(|(_, ranked)| ranked[0] != "vm-0").unwrap();
     let holdings = |home: &EcoString, wall_ms, snapshots| NodeHoldings {
@@ -179,8 +183,8 @@
     let other = view.members.keys().find(|node| **node != ranked[0]).unwrap();
     let now_us = cluster.now_us;
     let node = &mut cluster.nodes[0];
-    node.step(now_us, ControlEvent::HoldingsHeard(holdings(&ranked[0], 1, held.clone())));
-    node.step(now_us, ControlEvent::HoldingsHeard(holdings(other, 2, Vec::new())));
+    node.step(now_us, ControlEvent::HoldingsReceived(holdings(&ranked[0], 1, held.clone())));
+    node.step(now_us, ControlEvent::HoldingsReceived(holdings(other, 2, Vec::new())));
     assert_eq!(node.view().holdings[group].snapshots, held);
 }
 
@@ -189,22 +193,22 @@
 #[test]
 fn many_revisions() {
     let mut cluster = Cluster::start(8, 4, ControlPolicy::default());
-    cluster.run(2_000 * MS);
+    cluster.advance(2_000 * MS);
     for round in 0..40 {
         cluster.publish(|configuration| {
             configuration.services = services(1 + round % 5, 4);
         });
         if round % 7 == 3 {
-            cluster.split(&[round % 8], &[0, 1, 2, 3, 4, 5, 6, 7]);
+            cluster.partition(&[round % 8], &[0, 1, 2, 3, 4, 5, 6, 7]);
         }
-        cluster.run((round as u64 * 37 % 300) * MS);
+        cluster.advance((round as u64 * 37 % 300) * MS);
         if round % 7 == 6 {
-            cluster.cuts.clear();
+            cluster.blocked_links.clear();
         }
     }
-    cluster.cuts.clear();
-    settle_ms(&mut cluster, 10_000);
-    for adopted in &cluster.adopted {
+    cluster.blocked_links.clear();
+    convergence_ms(&mut cluster, 10_000);
+    for adopted in &cluster.revision_history {
         assert!(adopted.is_sorted_by(|a, b| a.0 < b.0), "one order everywhere");
     }
 }
@@ -212,10 +216,10 @@
 // Homes are ranked anew only where a change makes a difference. A node that left one group out
 // would send its queries to a home that all others have moved away from.
 #[test]
-fn ranked_in_part() {
+fn incremental_ranking() {
     let mut cluster = Cluster::start(12, 4, ControlPolicy::default());
     cluster.publish(|configuration| configuration.services = services(60, 4));
-    cluster.run(3_000 * MS);
+    cluster.advance(3_000 * MS);
     for round in 0..30_usize {
         let node = 1 + round * 5 % 11;
         match round % 3 {
@@ -223,7 +227,7 @@
             1 => cluster.join(node, 4),
             _ => drop(cluster.nodes[node].step(cluster.now_us, ControlEvent::Shutdown)),
         }
-        cluster.run(700 * MS);
+        cluster.advance(700 * MS);
         let view = cluster.view(0);
         let members: Vec<&Member> = view.members.values().collect();
         let mut whole = HomeTable::default();
@@ -234,16 +238,16 @@
 
 // A fresh node joins: only the groups that it is now the home of move, about one in nine.
 #[test]
-fn few_moves() {
+fn minimal_home_moves() {
     let mut cluster = Cluster::start(8, 1, ControlPolicy::default());
     cluster.publish(|configuration| configuration.services = services(400, 1));
-    cluster.run(5_000 * MS);
+    cluster.advance(5_000 * MS);
     let before = (*cluster.view(0).homes).clone();
     cluster.join(8, 1);
-    cluster.run(5_000 * MS);
+    cluster.advance(5_000 * MS);
     let after = (*cluster.view(0).homes).clone();
     let moved: Vec<_> =
         before.iter().filter(|(group, ranked)| after[*group][0] != ranked[0]).collect();
-    assert!(moved.iter().all(|(group, _)| after[*group][0] == cluster::name(8)));
+    assert!(moved.iter().all(|(group, _)| after[*group][0] == cluster::node_name(8)));
     assert!((20..80).contains(&moved.len()), "{} of 400 moved", moved.len());
 }
--- a/crates/sassafrasproxy-core/tests/directories.rs
+++ b/crates/sassafrasproxy-core/tests/directories.rs
@@ -22,7 +22,7 @@
 }
 
 #[test]
-fn where_replicas_are() {
+fn nodes_near_replicas() {
     use MemberState::Alive;
     let nodes = [
         node("w1", "west", Alive),
@@ -41,7 +41,7 @@
 /// Fifty-six VMs of an eighth of a core and a few of a half: a query over many shards would take
 /// four times as long on a small one. Small ones are named once the large ones are gone.
 #[test]
-fn large_first() {
+fn prefers_large_nodes() {
     let small = |address: &str| DirectoryNode {
         cpu_millis: 120,
         ..node(address, "west", MemberState::Alive)
@@ -61,7 +61,7 @@
 
 /// Guards against callers all of whose addresses hang when their failure domain is lost.
 #[test]
-fn another_domain() {
+fn names_second_domain() {
     let domains = ["west", "east", "north"];
     let nodes: Vec<DirectoryNode> = (0..12)
         .map(|at| node(&format!("{}{at}", domains[at % 3]), domains[at % 3], MemberState::Alive))
@@ -79,7 +79,7 @@
 /// A node that leaves or is dead must not be named; one that is only suspected, where nothing
 /// else is left.
 #[test]
-fn states() {
+fn member_states() {
     use MemberState::{Alive, Dead, Leaving, Suspect};
     let nodes = [
         node("a", "west", Alive),
--- a/crates/sassafrasproxy-core/tests/discovery.rs
+++ b/crates/sassafrasproxy-core/tests/discovery.rs
@@ -2,10 +2,12 @@
 
 #![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 
-use sassafrasproxy_core::{Catalogue, Discovery, DiscoveryEvent, Fact, NodeRegistration, Subject};
+use sassafrasproxy_core::{
+    Catalogue, Discovery, DiscoveryEvent, NodeRegistration, RegistryEntry, RegistryKey,
+};
 use sassafrasproxy_wire::{MemberState, MemberUpdate, ReplicaEntry, RouteConfiguration};
 
-fn entry(id: &str) -> ReplicaEntry {
+fn replica_entry(id: &str) -> ReplicaEntry {
     ReplicaEntry {
         id: id.into(),
         born_ms: 1,
@@ -20,211 +22,214 @@
     }
 }
 
-fn seen(entry: ReplicaEntry, revision: u64) -> DiscoveryEvent {
-    DiscoveryEvent::Seen { fact: Fact::Replica(entry), revision }
+fn replica_seen(entry: ReplicaEntry, revision: u64) -> DiscoveryEvent {
+    DiscoveryEvent::EntrySeen { entry: RegistryEntry::Replica(entry), revision }
 }
 
-fn configuration(version: u64, revision: u64) -> DiscoveryEvent {
+fn configuration_seen(version: u64, revision: u64) -> DiscoveryEvent {
     let configuration = RouteConfiguration { version, ..RouteConfiguration::default() };
-    DiscoveryEvent::Seen { fact: Fact::Configuration(configuration), revision }
+    DiscoveryEvent::EntrySeen { entry: RegistryEntry::Configuration(configuration), revision }
 }
 
-fn gone(id: &str, revision: u64) -> DiscoveryEvent {
-    DiscoveryEvent::Gone { subject: Subject::Replica(id.into()), revision }
+fn replica_removed(id: &str, revision: u64) -> DiscoveryEvent {
+    DiscoveryEvent::EntryRemoved { key: RegistryKey::Replica(id.into()), revision }
 }
 
 /// A discovery that has listed two replicas and configuration 5.
-fn listed() -> Discovery {
+fn listed_discovery() -> Discovery {
     let mut discovery = Discovery::default();
     let events = [
         DiscoveryEvent::ListStarted { revision: 6 },
-        configuration(5, 3),
-        seen(entry("a"), 4),
-        seen(entry("b"), 5),
+        configuration_seen(5, 3),
+        replica_seen(replica_entry("a"), 4),
+        replica_seen(replica_entry("b"), 5),
         DiscoveryEvent::ListEnded,
     ];
     events.into_iter().for_each(|event| discovery.step(0, event));
     discovery
 }
 
-fn open(catalogue: &Catalogue) -> Vec<&str> {
+fn eligible_ids(catalogue: &Catalogue) -> Vec<&str> {
     let replicas = catalogue.replicas.iter();
-    replicas.filter(|(_, replica)| replica.is_open).map(|(id, _)| id.as_str()).collect()
+    replicas.filter(|(_, replica)| replica.is_eligible).map(|(id, _)| id.as_str()).collect()
 }
 
 /// A stale read, a late peer or a replayed watch brings an older configuration: routes that were
 /// dropped would be served again.
 #[test]
-fn never_back() {
-    let mut discovery = listed();
+fn older_configuration_is_ignored() {
+    let mut discovery = listed_discovery();
     for event in [
-        configuration(4, 9),
-        DiscoveryEvent::Gone { subject: Subject::Configuration, revision: 9 },
-        DiscoveryEvent::PeerFacts { facts: Vec::new(), revision: 20 },
+        configuration_seen(4, 9),
+        DiscoveryEvent::EntryRemoved { key: RegistryKey::Configuration, revision: 9 },
+        DiscoveryEvent::PeerEntries { entries: Vec::new(), revision: 20 },
     ] {
         discovery.step(1, event);
-        assert_eq!(discovery.version(), 5);
+        assert_eq!(discovery.configuration_version(), 5);
     }
-    discovery.step(1, configuration(11, 21));
-    assert_eq!(discovery.version(), 11);
+    discovery.step(1, configuration_seen(11, 21));
+    assert_eq!(discovery.configuration_version(), 11);
 }
 
 /// A replica that drains, and one whose entry is taken away without that, get no new work.
 #[test]
-fn leaving() {
-    let mut discovery = listed();
-    discovery.step(1, seen(ReplicaEntry { is_draining: true, ..entry("a") }, 6));
-    assert_eq!(open(&discovery.take_catalogue().unwrap()), ["b"]);
-    discovery.step(1, gone("b", 7));
+fn draining_or_removed_replica_gets_no_work() {
+    let mut discovery = listed_discovery();
+    discovery.step(1, replica_seen(ReplicaEntry { is_draining: true, ..replica_entry("a") }, 6));
+    assert_eq!(eligible_ids(&discovery.take_catalogue().unwrap()), ["b"]);
+    discovery.step(1, replica_removed("b", 7));
     let catalogue = discovery.take_catalogue().unwrap();
-    assert_eq!(open(&catalogue), [""; 0]);
+    assert_eq!(eligible_ids(&catalogue), [""; 0]);
     assert!(!catalogue.replicas.contains_key("b"));
 }
 
 /// A replica says that it leaves. What it wrote a second before reaches the store only then: it
 /// seems ready again and would get work until it is gone. A new life of it may be ready.
 #[test]
-fn late_entry() {
-    let mut discovery = listed();
-    let draining = ReplicaEntry { is_draining: true, sequence: 7, ..entry("a") };
-    discovery.step(1, seen(draining, 6));
-    discovery.step(1, seen(ReplicaEntry { sequence: 6, ..entry("a") }, 7));
-    assert_eq!(open(&discovery.take_catalogue().unwrap()), ["b"]);
-    discovery.step(2, gone("a", 8));
-    discovery.step(2, seen(ReplicaEntry { sequence: 5, ..entry("a") }, 9));
-    assert_eq!(open(&discovery.take_catalogue().unwrap()), ["b"]);
-    discovery.step(3, seen(ReplicaEntry { born_ms: 2, ..entry("a") }, 10));
-    assert_eq!(open(&discovery.take_catalogue().unwrap()), ["b", "a"]);
+fn late_entry_is_ignored() {
+    let mut discovery = listed_discovery();
+    let draining = ReplicaEntry { is_draining: true, sequence: 7, ..replica_entry("a") };
+    discovery.step(1, replica_seen(draining, 6));
+    discovery.step(1, replica_seen(ReplicaEntry { sequence: 6, ..replica_entry("a") }, 7));
+    assert_eq!(eligible_ids(&discovery.take_catalogue().unwrap()), ["b"]);
+    discovery.step(2, replica_removed("a", 8));
+    discovery.step(2, replica_seen(ReplicaEntry { sequence: 5, ..replica_entry("a") }, 9));
+    assert_eq!(eligible_ids(&discovery.take_catalogue().unwrap()), ["b"]);
+    discovery.step(3, replica_seen(ReplicaEntry { born_ms: 2, ..replica_entry("a") }, 10));
+    assert_eq!(eligible_ids(&discovery.take_catalogue().unwrap()), ["b", "a"]);
 }
 
 /// An old removal comes after a newer entry, as when pages and watch overlap.
 #[test]
-fn old_removal() {
-    let mut discovery = listed();
-    discovery.step(1, gone("a", 2));
+fn old_removal_is_ignored() {
+    let mut discovery = listed_discovery();
+    discovery.step(1, replica_removed("a", 2));
     discovery.step(1, DiscoveryEvent::Tick);
-    assert_eq!(open(&discovery.take_catalogue().unwrap()), ["a", "b"]);
+    assert_eq!(eligible_ids(&discovery.take_catalogue().unwrap()), ["a", "b"]);
 }
 
 /// A list after a gap in the history does not name a replica: it is gone.
 #[test]
-fn missing_in_list() {
-    let mut discovery = listed();
+fn unlisted_replica_is_removed() {
+    let mut discovery = listed_discovery();
     for event in [
         DiscoveryEvent::ListStarted { revision: 6 },
-        configuration(5, 3),
-        seen(entry("b"), 5),
+        configuration_seen(5, 3),
+        replica_seen(replica_entry("b"), 5),
         DiscoveryEvent::ListEnded,
     ] {
         discovery.step(1, event);
     }
-    assert_eq!(open(&discovery.take_catalogue().unwrap()), ["b"]);
+    assert_eq!(eligible_ids(&discovery.take_catalogue().unwrap()), ["b"]);
 }
 
 /// The store is away for long and the replicas cannot renew their entries. When it returns, it
 /// reports all of them as gone. Callers would be refused for the two seconds until the replicas
 /// have registered again, though all are sound; one that does not register in time is gone.
 #[test]
-fn lapsed_entries() {
-    let mut discovery = listed();
+fn expired_entries_are_held() {
+    let mut discovery = listed_discovery();
     discovery.take_catalogue();
-    discovery.step(10_000_000, DiscoveryEvent::StoreLost);
-    discovery.step(20_000_000, DiscoveryEvent::StoreBack);
-    discovery.step(20_100_000, gone("a", 8));
-    discovery.step(20_100_000, gone("b", 9));
+    discovery.step(10_000_000, DiscoveryEvent::StoreUnavailable);
+    discovery.step(20_000_000, DiscoveryEvent::StoreRecovered);
+    discovery.step(20_100_000, replica_removed("a", 8));
+    discovery.step(20_100_000, replica_removed("b", 9));
     assert!(discovery.take_catalogue().is_none(), "nothing was dropped");
-    discovery.step(21_500_000, seen(entry("a"), 12));
+    discovery.step(21_500_000, replica_seen(replica_entry("a"), 12));
     discovery.step(22_100_000, DiscoveryEvent::Tick);
-    assert_eq!(open(&discovery.take_catalogue().unwrap()), ["a", "b"]);
+    assert_eq!(eligible_ids(&discovery.take_catalogue().unwrap()), ["a", "b"]);
     discovery.step(22_300_000, DiscoveryEvent::Tick);
-    assert_eq!(open(&discovery.take_catalogue().unwrap()), ["a"]);
+    assert_eq!(eligible_ids(&discovery.take_catalogue().unwrap()), ["a"]);
 }
 
 /// With the store in reach, an entry that goes is a replica that leaves: it is dropped at once.
 #[test]
-fn no_hold_in_calm() {
-    let mut discovery = listed();
-    discovery.step(10_000_000, gone("a", 8));
-    assert_eq!(open(&discovery.take_catalogue().unwrap()), ["b"]);
+fn removed_entry_is_not_held() {
+    let mut discovery = listed_discovery();
+    discovery.step(10_000_000, replica_removed("a", 8));
+    assert_eq!(eligible_ids(&discovery.take_catalogue().unwrap()), ["b"]);
 }
 
 #[test]
-fn domain_out() {
-    let mut discovery = listed();
-    let fact = Fact::DomainOut("west".into());
-    discovery.step(1, DiscoveryEvent::Seen { fact, revision: 8 });
-    assert_eq!(open(&discovery.take_catalogue().unwrap()), [""; 0]);
-    let subject = Subject::DomainOut("west".into());
-    discovery.step(2, DiscoveryEvent::Gone { subject, revision: 9 });
-    assert_eq!(open(&discovery.take_catalogue().unwrap()), ["a", "b"]);
+fn domain_out_gets_no_work() {
+    let mut discovery = listed_discovery();
+    let fact = RegistryEntry::DomainOut("west".into());
+    discovery.step(1, DiscoveryEvent::EntrySeen { entry: fact, revision: 8 });
+    assert_eq!(eligible_ids(&discovery.take_catalogue().unwrap()), [""; 0]);
+    let subject = RegistryKey::DomainOut("west".into());
+    discovery.step(2, DiscoveryEvent::EntryRemoved { key: subject, revision: 9 });
+    assert_eq!(eligible_ids(&discovery.take_catalogue().unwrap()), ["a", "b"]);
 }
 
 /// The store turns this node away while a failure domain is taken out, a replica leaves and a
 /// configuration comes. A peer that follows the store tells all of it.
 #[test]
-fn peer_tells() {
-    let mut discovery = listed();
-    discovery.step(1, DiscoveryEvent::StoreLost);
+fn peer_entries_replace_missing_store() {
+    let mut discovery = listed_discovery();
+    discovery.step(1, DiscoveryEvent::StoreUnavailable);
     let next = RouteConfiguration { version: 9, ..RouteConfiguration::default() };
-    let facts = vec![(Fact::Configuration(next), 0), (Fact::Replica(entry("b")), 5)];
-    discovery.step(2, DiscoveryEvent::PeerFacts { facts, revision: 12 });
-    assert_eq!(discovery.version(), 9);
-    assert_eq!(open(&discovery.take_catalogue().unwrap()), ["b"]);
+    let facts = vec![
+        (RegistryEntry::Configuration(next), 0),
+        (RegistryEntry::Replica(replica_entry("b")), 5),
+    ];
+    discovery.step(2, DiscoveryEvent::PeerEntries { entries: facts, revision: 12 });
+    assert_eq!(discovery.configuration_version(), 9);
+    assert_eq!(eligible_ids(&discovery.take_catalogue().unwrap()), ["b"]);
 }
 
 /// The store turns this node away but serves its peers. An entry that goes is a replica that
 /// leaves: it did not lapse, and is not kept for two seconds as after an outage.
 #[test]
-fn away_for_one() {
-    let mut discovery = listed();
+fn entry_is_not_held_while_peers_sync() {
+    let mut discovery = listed_discovery();
     discovery.take_catalogue();
-    discovery.step(10_000_000, DiscoveryEvent::StoreLost);
-    discovery.step(11_000_000, DiscoveryEvent::PeerTells);
-    discovery.step(11_000_000, gone("a", 8));
-    assert_eq!(open(&discovery.take_catalogue().unwrap()), ["b"]);
+    discovery.step(10_000_000, DiscoveryEvent::StoreUnavailable);
+    discovery.step(11_000_000, DiscoveryEvent::PeerSyncStarted);
+    discovery.step(11_000_000, replica_removed("a", 8));
+    assert_eq!(eligible_ids(&discovery.take_catalogue().unwrap()), ["b"]);
 }
 
 /// What a peer does not name but learned nothing of either stays.
 #[test]
-fn peer_behind() {
-    let mut discovery = listed();
-    let facts = vec![(Fact::Replica(entry("a")), 4)];
-    discovery.step(2, DiscoveryEvent::PeerFacts { facts, revision: 4 });
-    assert_eq!(open(&discovery.take_catalogue().unwrap()), ["a", "b"]);
+fn lagging_peer_removes_nothing() {
+    let mut discovery = listed_discovery();
+    let facts = vec![(RegistryEntry::Replica(replica_entry("a")), 4)];
+    discovery.step(2, DiscoveryEvent::PeerEntries { entries: facts, revision: 4 });
+    assert_eq!(eligible_ids(&discovery.take_catalogue().unwrap()), ["a", "b"]);
 }
 
 /// A replica has just started and says with each heartbeat how much longer it is cold. That it is
 /// cold until the same moment is no news: 405 replicas that started at once had each node of 64
 /// build its catalogue anew and log a line four times for each.
 #[test]
-fn cold_heartbeats() {
-    let mut discovery = listed();
+fn cold_heartbeats_change_nothing() {
+    let mut discovery = listed_discovery();
     discovery.take_catalogue();
-    discovery.take_notes();
-    let beat = |sequence, cold_for_ms| ReplicaEntry { sequence, cold_for_ms, ..entry("c") };
-    discovery.step(0, seen(beat(1, 3_000), 7));
+    discovery.take_log_events();
+    let beat = |sequence, cold_for_ms| ReplicaEntry { sequence, cold_for_ms, ..replica_entry("c") };
+    discovery.step(0, replica_seen(beat(1, 3_000), 7));
     assert!(discovery.take_catalogue().is_some());
-    assert_eq!(discovery.take_notes().len(), 1);
+    assert_eq!(discovery.take_log_events().len(), 1);
     for (at_ms, sequence, cold_for_ms) in [(1_200, 2, 1_700), (2_300, 3, 600), (3_600, 4, 0)] {
-        discovery.step(at_ms * 1_000, seen(beat(sequence, cold_for_ms), 7 + sequence));
+        discovery.step(at_ms * 1_000, replica_seen(beat(sequence, cold_for_ms), 7 + sequence));
         assert!(discovery.take_catalogue().is_none(), "heartbeat {sequence}");
-        assert!(discovery.take_notes().is_empty(), "heartbeat {sequence}");
+        assert!(discovery.take_log_events().is_empty(), "heartbeat {sequence}");
     }
-    discovery.step(5_000_000, seen(beat(5, 3_000), 12));
+    discovery.step(5_000_000, replica_seen(beat(5, 3_000), 12));
     assert!(discovery.take_catalogue().is_some(), "cold again");
-    discovery.step(5_500_000, seen(beat(6, 0), 13));
+    discovery.step(5_500_000, replica_seen(beat(6, 0), 13));
     assert!(discovery.take_catalogue().is_some(), "warm before it said");
-    discovery.step(9_000_000, seen(beat(6, 0), 13));
+    discovery.step(9_000_000, replica_seen(beat(6, 0), 13));
     assert!(discovery.take_catalogue().is_none(), "listed again");
     let draining = ReplicaEntry { is_draining: true, ..beat(7, 0) };
-    discovery.step(9_500_000, seen(draining, 14));
+    discovery.step(9_500_000, replica_seen(draining, 14));
     assert!(discovery.take_catalogue().is_some(), "leaving");
 }
 
 /// A node starts from a peer, after it has registered itself. It must find its registration among
 /// what the peer tells: in a fleet of 64, 56 that did not registered twice, 224 calls to the store.
 #[test]
-fn told_of_registrations() {
+fn peer_entries_include_registrations() {
     let member = MemberUpdate {
         node: "vm-1".into(),
         peer_address: "127.0.0.1:2".into(),
@@ -235,10 +240,10 @@
         state: MemberState::Alive,
         incarnation: 1,
     };
-    let mut peer = listed();
-    let fact = Fact::Node(NodeRegistration { member, node_count: 1 });
-    peer.step(1, DiscoveryEvent::Seen { fact, revision: 7 });
+    let mut peer = listed_discovery();
+    let fact = RegistryEntry::Node(NodeRegistration { member, node_count: 1 });
+    peer.step(1, DiscoveryEvent::EntrySeen { entry: fact, revision: 7 });
     let mut discovery = Discovery::default();
-    discovery.step(2, DiscoveryEvent::PeerFacts { facts: peer.facts(), revision: 7 });
+    discovery.step(2, DiscoveryEvent::PeerEntries { entries: peer.entries(), revision: 7 });
     assert!(discovery.is_registered("vm-1"));
 }
--- a/crates/sassafrasproxy-core/tests/faulty_replicas.rs
+++ b/crates/sassafrasproxy-core/tests/faulty_replicas.rs
@@ -1,28 +1,32 @@
 //! Replicas whose answers are no good, beside sound ones.
 
-mod bench;
+mod scheduler_harness;
 
-use bench::{Bench, MS};
 use sassafrasproxy_core::AttemptResult;
 use sassafrasproxy_wire::SubOutcome;
+use scheduler_harness::{MS, SchedulerHarness};
 
 /// Searches 10 ms apart, of which `is_good` says by replica and time whether the answer is good;
 /// returns how many were answered, and how many sends the first replica got.
-fn search(bench: &mut Bench, count: usize, is_good: impl Fn(&str, u64) -> bool) -> (usize, usize) {
+fn run_searches(
+    bench: &mut SchedulerHarness,
+    count: usize,
+    is_good: impl Fn(&str, u64) -> bool,
+) -> (usize, usize) {
     let sends_before = bench.sends.len();
     let mut answered = 0;
     for _ in 0..count {
-        let mut sub = bench.sub();
+        let mut sub = bench.new_spec();
         sub.may_hedge = false;
-        let key = bench.submit_sub(sub);
+        let key = bench.submit_spec(sub);
         while !bench.replies.contains_key(&key) {
-            bench.pass(5 * MS);
+            bench.advance(5 * MS);
             let good = is_good(&bench.replica_of(key), bench.now_us);
             let result = if good { AttemptResult::Answered } else { AttemptResult::Mismatched };
-            bench.end_sub(key, result);
+            bench.end_first_attempt(key, result);
         }
         answered += usize::from(bench.replies[&key] == SubOutcome::Answered);
-        bench.pass(5 * MS);
+        bench.advance(5 * MS);
     }
     let sends = &bench.sends[sends_before..];
     (answered, sends.iter().filter(|(replica, _)| replica == "a").count())
@@ -32,9 +36,9 @@
 // answers without that shard nine times in ten: the replica, idle as all its sends end at once,
 // was asked first, and the budget for second sends was soon spent on making up for it.
 #[test]
-fn crosses_all() {
-    let mut bench = Bench::warm();
-    let (answered, sends) = search(&mut bench, 1_000, |replica, _| replica != "a");
+fn all_answers_mismatched() {
+    let mut bench = SchedulerHarness::warm();
+    let (answered, sends) = run_searches(&mut bench, 1_000, |replica, _| replica != "a");
     assert_eq!(answered, 1_000);
     assert!(sends <= 20, "it is tried sparingly: {sends} sends in 10 s");
 }
@@ -42,12 +46,12 @@
 // The same replica is mended. It must get its share again soon, or its siblings carry its load
 // until somebody restarts the node.
 #[test]
-fn is_back() {
-    let mut bench = Bench::warm();
+fn recovered_replica() {
+    let mut bench = SchedulerHarness::warm();
     let mended_us = bench.now_us + 5_000 * MS;
     let is_good = |replica: &str, now_us: u64| replica != "a" || now_us >= mended_us;
-    search(&mut bench, 500, is_good);
-    let (answered, sends) = search(&mut bench, 500, is_good);
+    run_searches(&mut bench, 500, is_good);
+    let (answered, sends) = run_searches(&mut bench, 500, is_good);
     assert_eq!(answered, 500);
     assert!(sends > 50, "{sends} of 500");
 }
@@ -55,9 +59,9 @@
 // Every replica fails, as a request can be at fault itself. Sound replicas that are avoided must
 // still be asked: an avoided replica is better than none.
 #[test]
-fn all_faulty() {
-    let mut bench = Bench::warm();
-    search(&mut bench, 50, |_, _| false);
-    let (answered, _) = search(&mut bench, 10, |_, _| true);
+fn all_replicas_faulty() {
+    let mut bench = SchedulerHarness::warm();
+    run_searches(&mut bench, 50, |_, _| false);
+    let (answered, _) = run_searches(&mut bench, 10, |_, _| true);
     assert_eq!(answered, 10);
 }
--- a/crates/sassafrasproxy-core/tests/fetches.rs
+++ b/crates/sassafrasproxy-core/tests/fetches.rs
@@ -3,19 +3,19 @@
 #![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 
 use sassafrasproxy_core::{
-    Catalogue, CatalogueReplica, Fetch, FetchEnd, FetchFailure, FetchPlan, FetchStep, PoolSettings,
-    RetryBudget, RetryBudgetPolicy, SendCause, SendOutcome, TryResult, UpstreamPool,
+    Catalogue, CatalogueReplica, Fetch, FetchFailure, FetchFailureReason, FetchPlan, FetchStep,
+    PoolSettings, RetryBudget, RetryBudgetPolicy, SendCause, SendOutcome, SendResult, UpstreamPool,
 };
 use sassafrasproxy_wire::ReplicaEntry;
 
-struct Scene {
+struct FetchHarness {
     pool: UpstreamPool,
     budget: RetryBudget,
     fetch: Fetch,
     plan: FetchPlan,
 }
 
-impl Scene {
+impl FetchHarness {
     fn new(replicas: usize, is_idempotent: bool, fixed: f64) -> Self {
         let settings =
             PoolSettings { failure_domain: "west".into(), warmup_factor: 1.5, warmup_slack: 5.0 };
@@ -34,7 +34,7 @@
                 cold_for_ms: 0,
             };
             let id = entry.id.clone();
-            let replica = CatalogueReplica::open(entry, 0);
+            let replica = CatalogueReplica::eligible(entry, 0);
             catalogue.replicas.insert(id, replica);
         }
         let mut pool = UpstreamPool::new(settings);
@@ -60,41 +60,41 @@
         let step = self.next(now_us);
         let FetchStep::Send { replica, send, cause } = step else { panic!("{step:?}") };
         assert_eq!(cause, expected);
-        self.pool.finish(&replica, send, now_us, SendOutcome::Cancelled, None);
+        self.pool.finish_send(&replica, send, now_us, SendOutcome::Cancelled, None);
     }
 
-    fn expect_failure(&mut self, end: FetchEnd, may_have_run: bool) {
-        let expected = FetchStep::Failed(FetchFailure { end, may_have_run });
+    fn expect_failure(&mut self, end: FetchFailureReason, may_have_run: bool) {
+        let expected = FetchStep::Failed(FetchFailure { reason: end, may_have_run });
         assert_eq!(self.next(0), expected);
     }
 }
 
 /// An order was sent and its answer is lost: a second send could print the range twice.
 #[test]
-fn order_once() {
-    let mut scene = Scene::new(3, false, 100.0);
+fn non_idempotent_sent_once() {
+    let mut scene = FetchHarness::new(3, false, 100.0);
     scene.expect_send(0, SendCause::First);
     assert_eq!(scene.next(1_000_000), FetchStep::Wait { until_us: None }, "no second send ever");
-    scene.fetch.note(TryResult::MayHaveRun);
-    scene.expect_failure(FetchEnd::NotRepeatable, true);
+    scene.fetch.record_result(SendResult::MayHaveRun);
+    scene.expect_failure(FetchFailureReason::NotRepeatable, true);
 }
 
 /// A replica says that it did not run the order, or no connection could be made: another may.
 #[test]
-fn order_not_run() {
+fn non_idempotent_not_run() {
     for (result, cause) in
-        [(TryResult::NotRun, SendCause::Retry), (TryResult::Unsent, SendCause::First)]
+        [(SendResult::NotRun, SendCause::Retry), (SendResult::Unsent, SendCause::First)]
     {
-        let mut scene = Scene::new(3, false, 100.0);
+        let mut scene = FetchHarness::new(3, false, 100.0);
         scene.expect_send(0, SendCause::First);
-        scene.fetch.note(result);
+        scene.fetch.record_result(result);
         scene.expect_send(0, cause);
     }
 }
 
 #[test]
 fn one_hedge() {
-    let mut scene = Scene::new(3, true, 100.0);
+    let mut scene = FetchHarness::new(3, true, 100.0);
     scene.expect_send(0, SendCause::First);
     assert_eq!(scene.next(14_999), FetchStep::Wait { until_us: Some(15_000) });
     scene.expect_send(15_000, SendCause::Hedge);
@@ -103,26 +103,26 @@
 
 /// Replicas that fail one after the other are asked as far as the route allows.
 #[test]
-fn attempts() {
-    let mut scene = Scene::new(4, true, 100.0);
+fn stops_at_max_attempts() {
+    let mut scene = FetchHarness::new(4, true, 100.0);
     scene.expect_send(0, SendCause::First);
-    scene.fetch.note(TryResult::MayHaveRun);
+    scene.fetch.record_result(SendResult::MayHaveRun);
     scene.expect_send(0, SendCause::Retry);
-    scene.fetch.note(TryResult::MayHaveRun);
-    scene.expect_failure(FetchEnd::AllTried, true);
+    scene.fetch.record_result(SendResult::MayHaveRun);
+    scene.expect_failure(FetchFailureReason::AllTried, true);
 }
 
 /// Many shards fail at once: when the budget is spent, retries stop, and first sends go on.
 #[test]
 fn budget_spent() {
-    let mut scene = Scene::new(3, true, 0.0);
+    let mut scene = FetchHarness::new(3, true, 0.0);
     scene.expect_send(0, SendCause::First);
-    scene.fetch.note(TryResult::NotRun);
-    scene.expect_failure(FetchEnd::NoBudget, false);
+    scene.fetch.record_result(SendResult::NotRun);
+    scene.expect_failure(FetchFailureReason::NoBudget, false);
 }
 
 /// No replica is known: the caller hears so at once.
 #[test]
 fn no_replica() {
-    Scene::new(0, true, 100.0).expect_failure(FetchEnd::NoReplica, false);
+    FetchHarness::new(0, true, 100.0).expect_failure(FetchFailureReason::NoReplica, false);
 }
--- a/crates/sassafrasproxy-core/tests/gathers.rs
+++ b/crates/sassafrasproxy-core/tests/gathers.rs
@@ -2,13 +2,14 @@
 
 use proptest::prelude::*;
 use sassafrasproxy_core::{
-    GatherPlan, GatherStep, RECORD_BYTES, merge_records, next_gather_step, possible_in_us,
+    GatherPlan, GatherStep, RECORD_BYTES, merge_records, min_parts_usable_in_us, next_gather_step,
 };
 
-const PLAN: GatherPlan = GatherPlan { shards: 20, min_parts: 18, stop_us: 70, end_us: 390 };
+const PLAN: GatherPlan =
+    GatherPlan { shards: 20, min_parts: 18, soft_deadline_us: 70, end_us: 390 };
 
 #[test]
-fn stop_rule() {
+fn gather_steps() {
     let wait = |until_us| GatherStep::Wait { until_us };
     let cases = [
         // now, parts, pending, step
@@ -31,27 +32,27 @@
 /// Callers that wait 50 ms and are 2 ms away, of which 5 ms are gone: the answer leaves some
 /// milliseconds before the last moment, sooner for callers that are farther away.
 #[test]
-fn stop_times() {
-    let near_us = GatherPlan::stop_us(95_000, 50_000, 2_000, 20);
+fn soft_deadlines() {
+    let near_us = GatherPlan::soft_deadline_us(95_000, 50_000, 2_000, 20);
     assert!((135_000..143_000).contains(&near_us), "{near_us}");
-    let far_us = GatherPlan::stop_us(95_000, 50_000, 16_000, 20);
+    let far_us = GatherPlan::soft_deadline_us(95_000, 50_000, 16_000, 20);
     assert!(far_us < near_us - 14_000, "{far_us}");
-    assert_eq!(GatherPlan::stop_us(0, 10_000, 16_000, 20), 0, "no time is left at all");
+    assert_eq!(GatherPlan::soft_deadline_us(0, 10_000, 16_000, 20), 0, "no time is left at all");
 }
 
 /// Some shards are away for a while, and one has no replica at all.
 #[test]
-fn possible() {
+fn usable_time_of_min_parts() {
     let shards = [Some(0), Some(90_000), None, Some(0), Some(40_000)];
     let cases = [(1, Some(0)), (2, Some(0)), (3, Some(40_000)), (4, Some(90_000)), (5, None)];
     for (min_parts, expected_us) in cases {
-        assert_eq!(possible_in_us(&shards, min_parts), expected_us, "{min_parts} parts");
+        assert_eq!(min_parts_usable_in_us(&shards, min_parts), expected_us, "{min_parts} parts");
     }
 }
 
 /// 0.75 of 20 is 15, whatever the fraction's last bit is.
 #[test]
-fn least_parts() {
+fn min_parts_of_coverage() {
     let cases = [(20, 0.75, 15), (20, 0.89, 18), (30, 0.89, 27), (90, 0.95, 86), (3, 0.0, 1)];
     for (shards, coverage, parts) in cases {
         assert_eq!(GatherPlan::min_parts(shards, coverage), parts, "{shards} {coverage}");
@@ -61,7 +62,7 @@
 proptest! {
     /// The greatest records of all parts, equal ones too, and no remainder of a part.
     #[test]
-    fn merged(
+    fn merges_greatest_records(
         parts in prop::collection::vec(prop::collection::vec(0_u8..4, 0..100), 0..8),
         top_k in 0_usize..30,
     ) {
--- a/crates/sassafrasproxy-core/tests/fleet_faults.rs
+++ b/crates/sassafrasproxy-core/tests/gossip_faults.rs
@@ -6,16 +6,16 @@
 use sassafrasproxy_wire::MemberState;
 
 /// The milliseconds until no live node sees any silent one as alive.
-fn left_out_ms(fleet: &mut Fleet, within_ms: u64) -> u64 {
+fn removal_time_ms(fleet: &mut Fleet, within_ms: u64) -> u64 {
     let from_us = fleet.now_us;
     loop {
         fleet.run_us(50_000);
         let passed_ms = (fleet.now_us - from_us) / 1_000;
-        let silent: Vec<usize> = fleet.silent.iter().copied().collect();
+        let silent: Vec<usize> = fleet.offline.iter().copied().collect();
         let is_named = |at: &usize| {
-            silent.iter().any(|other| fleet.state(*at, *other) == Some(MemberState::Alive))
+            silent.iter().any(|other| fleet.observed_state(*at, *other) == Some(MemberState::Alive))
         };
-        let naming = fleet.live().iter().filter(|at| is_named(at)).count();
+        let naming = fleet.online().iter().filter(|at| is_named(at)).count();
         if naming == 0 {
             return passed_ms;
         }
@@ -25,19 +25,19 @@
 
 /// Guards against callers that are sent to a lost failure domain for long.
 #[test]
-fn domain_lost() {
+fn lost_domain_is_removed() {
     for size in [30, 100, 300] {
-        let mut fleet = Fleet::spread(size, 6, |_| 500);
-        fleet.run(20);
-        fleet.silent.extend((0..size).filter(|at| at % 6 == 1));
-        let passed_ms = left_out_ms(&mut fleet, 6_000);
+        let mut fleet = Fleet::with_domains(size, 6, |_| 500);
+        fleet.run_s(20);
+        fleet.offline.extend((0..size).filter(|at| at % 6 == 1));
+        let passed_ms = removal_time_ms(&mut fleet, 6_000);
         println!("{size} nodes: a lost failure domain is left out after {passed_ms} ms");
     }
 }
 
 /// The share of live nodes that a live node does not see as alive, over all of them.
-fn wrongly_left_out(fleet: &Fleet) -> f64 {
-    let live = fleet.live();
+fn false_removal_share(fleet: &Fleet) -> f64 {
+    let live = fleet.online();
     let alive = |at: &usize| {
         let nodes = fleet.nodes[*at].directory_nodes();
         nodes.iter().filter(|node| node.state == MemberState::Alive).count()
@@ -48,15 +48,15 @@
 
 /// Guards against live nodes that callers are not sent to because datagrams get lost.
 #[test]
-fn lossy_links() {
+fn lossy_links_remove_no_live_nodes() {
     for size in [8, 200] {
         let mut fleet = Fleet::new(size);
-        fleet.loss = 0.1;
-        fleet.run(10);
+        fleet.loss_rate = 0.1;
+        fleet.run_s(10);
         let mut share = 0.0;
         for _ in 0..20 {
-            fleet.run(1);
-            share += wrongly_left_out(&fleet) / 20.0;
+            fleet.run_s(1);
+            share += false_removal_share(&fleet) / 20.0;
         }
         println!("{size} nodes: {share:.4} of the live nodes are left out");
         assert!(share < 0.01, "{share} at {size}");
@@ -65,14 +65,14 @@
 
 /// Guards against views that differ for long after half of the fleet starts again at once.
 #[test]
-fn half_restarts() {
+fn half_of_fleet_restarts() {
     for size in [8, 200] {
         let mut fleet = Fleet::new(size);
-        fleet.run(20);
+        fleet.run_s(20);
         for at in (0..size).filter(|at| at % 2 == 1) {
             fleet.restart(at, 1_000);
         }
-        fleet.run(3);
-        assert_eq!(fleet.counts(), (size, size));
+        fleet.run_s(3);
+        assert_eq!(fleet.node_count_range(), (size, size));
     }
 }
--- a/crates/sassafrasproxy-core/tests/fleet_cost.rs
+++ b/crates/sassafrasproxy-core/tests/gossip_traffic.rs
@@ -7,50 +7,54 @@
 use nodes::Fleet;
 
 /// The bytes that a node may send in five calm seconds: 1 KB a second.
-const CALM_BYTES: usize = 5 * 1_024;
+const MAX_IDLE_BYTES: usize = 5 * 1_024;
 
 /// Guards against a start in which each node greets each other one, and against heartbeats that go
 /// on telling what everybody knows.
 #[test]
-fn start_and_calm() {
+fn startup_and_idle_traffic() {
     for (size, within_ms) in [(8, 3_000), (195, 3_000), (1_000, 10_000)] {
-        let mut fleet = Fleet::spread(size, 6, |_| 500);
-        while fleet.counts().0 < size {
+        let mut fleet = Fleet::with_domains(size, 6, |_| 500);
+        while fleet.node_count_range().0 < size {
             fleet.run_us(100_000);
-            assert!(fleet.now_us <= within_ms * 1_000, "{:?} of {size} known", fleet.counts());
+            assert!(
+                fleet.now_us <= within_ms * 1_000,
+                "{:?} of {size} known",
+                fleet.node_count_range()
+            );
         }
         let met_ms = fleet.now_us / 1_000;
-        fleet.run(5);
-        let all = fleet.take_all_sent();
+        fleet.run_s(5);
+        let all = fleet.take_total_sent();
         let (bytes, datagrams) = (all.bytes / size, all.datagrams / size);
         println!("{size} nodes: {met_ms} ms, {bytes} bytes and {datagrams} datagrams a node");
-        println!("{size} nodes: {} bytes a node to other domains", all.far_bytes / size);
-        assert!(fleet.longest <= 1_200, "{} bytes", fleet.longest);
+        println!("{size} nodes: {} bytes a node to other domains", all.cross_domain_bytes / size);
+        assert!(fleet.max_datagram_bytes <= 1_200, "{} bytes", fleet.max_datagram_bytes);
         assert!(size > 195 || bytes <= 60_000, "{bytes} bytes a node");
-        fleet.longest = 0;
-        fleet.run(5);
-        let most = fleet.take_most_sent();
-        println!("{size} nodes: {most:?} in 5 s, longest {}", fleet.longest);
-        assert!(fleet.longest <= 300, "{} bytes at {size}", fleet.longest);
-        assert!(most.bytes <= CALM_BYTES, "{most:?} at {size}");
+        fleet.max_datagram_bytes = 0;
+        fleet.run_s(5);
+        let most = fleet.take_max_sent();
+        println!("{size} nodes: {most:?} in 5 s, longest {}", fleet.max_datagram_bytes);
+        assert!(fleet.max_datagram_bytes <= 300, "{} bytes at {size}", fleet.max_datagram_bytes);
+        assert!(most.bytes <= MAX_IDLE_BYTES, "{most:?} at {size}");
     }
 }
 
 /// Guards against one node's return that each node tells each other one.
 #[test]
-fn one_restart() {
+fn single_restart_traffic() {
     for size in [8, 200] {
         let mut fleet = Fleet::new(size);
-        fleet.run(20);
-        fleet.take_all_sent();
-        fleet.run(10);
-        let calm = fleet.take_all_sent();
+        fleet.run_s(20);
+        fleet.take_total_sent();
+        fleet.run_s(10);
+        let calm = fleet.take_total_sent();
         fleet.restart(5, 2);
-        fleet.run(10);
-        let all = fleet.take_all_sent();
+        fleet.run_s(10);
+        let all = fleet.take_total_sent();
         let more = all.bytes.saturating_sub(calm.bytes) / size;
         println!("{size} nodes: {more} bytes a node for a restart");
-        assert_eq!(fleet.counts(), (size, size));
+        assert_eq!(fleet.node_count_range(), (size, size));
         assert!(more <= 2_000, "{more} bytes a node at {size}");
     }
 }
@@ -58,20 +62,20 @@
 /// Guards against a rolling restart whose news grow with the fleet: what a node sends for each node
 /// that leaves and comes back grows no faster than the logarithm.
 #[test]
-fn rolling_restart() {
+fn rolling_restart_traffic() {
     let mut smallest = None;
     for size in [50, 200, 800] {
         let mut fleet = Fleet::new(size);
-        fleet.run(10);
-        fleet.take_all_sent();
-        fleet.run(18);
-        let calm = fleet.take_all_sent();
+        fleet.run_s(10);
+        fleet.take_total_sent();
+        fleet.run_s(18);
+        let calm = fleet.take_total_sent();
         for round in 0..8 {
             let rolled: Vec<usize> = (0..5).map(|nth| 1 + round * 5 + nth).collect();
             for at in &rolled {
                 let sends = fleet.nodes[*at].leave(fleet.now_us);
                 fleet.deliver(*at, sends);
-                fleet.silent.insert(*at);
+                fleet.offline.insert(*at);
             }
             fleet.run_us(500_000);
             for at in rolled {
@@ -79,9 +83,9 @@
             }
             fleet.run_us(500_000);
         }
-        fleet.run(10);
-        assert_eq!(fleet.counts(), (size, size));
-        let more = fleet.take_all_sent().bytes.saturating_sub(calm.bytes) / size / 40;
+        fleet.run_s(10);
+        assert_eq!(fleet.node_count_range(), (size, size));
+        let more = fleet.take_total_sent().bytes.saturating_sub(calm.bytes) / size / 40;
         println!("{size} nodes: {more} bytes a node for each restart");
         let doublings = f64::from(u32::try_from(size).unwrap()).log2();
         let rate = more as f64 / doublings;
--- a/crates/sassafrasproxy-core/tests/home_change.rs
+++ b/crates/sassafrasproxy-core/tests/home_hand_over.rs
@@ -1,45 +1,45 @@
 //! Groups that change their home.
 
-mod bench;
+mod scheduler_harness;
 
-use bench::{Bench, MS};
-use sassafrasproxy_core::{AttemptResult, LaneEvent};
+use sassafrasproxy_core::{AttemptResult, SchedulerEvent};
 use sassafrasproxy_wire::{SubOutcome, UpstreamState};
+use scheduler_harness::{MS, SchedulerHarness};
 
 // Two nodes each believe to be home for a few seconds. Upstreams with two slots would see four
 // requests. A home that was told nothing adds one at most until views cannot differ any more.
 #[test]
-fn narrow_start() {
-    let mut bench = Bench::unheard();
-    bench.step(LaneEvent::BecomeHome { view_skew_us: 3_000 * MS });
+fn limit_one_until_views_agree() {
+    let mut bench = SchedulerHarness::without_status();
+    bench.step(SchedulerEvent::BecomeHome { view_skew_us: 3_000 * MS });
     for replica in ["a", "b", "c"] {
-        bench.status(replica, UpstreamState::Serving);
+        bench.report_status(replica, UpstreamState::Serving);
     }
     for _ in 0..500 {
         for _ in 0..4 {
             bench.submit();
         }
         assert!(["a", "b", "c"].iter().all(|replica| bench.in_flight(replica) <= 1));
-        bench.pass(5 * MS);
+        bench.advance(5 * MS);
         bench.answer_all();
     }
-    bench.pass(500 * MS);
+    bench.advance(500 * MS);
     bench.warm_up();
 }
 
 #[test]
-fn full_after_hand_over() {
-    let mut old = Bench::warm();
+fn full_limit_after_hand_over() {
+    let mut old = SchedulerHarness::warm();
     let running = old.submit();
     let replica = old.replica_of(running);
-    old.step(LaneEvent::LoseHome { me: "vm-1".into() });
+    old.step(SchedulerEvent::LoseHome { local_node: "vm-1".into() });
     let given = old.hand_overs.pop().unwrap();
 
-    let mut new = Bench::unheard();
-    new.step(LaneEvent::BecomeHome { view_skew_us: 3_000 * MS });
-    new.step(LaneEvent::HandedOver(given));
+    let mut new = SchedulerHarness::without_status();
+    new.step(SchedulerEvent::BecomeHome { view_skew_us: 3_000 * MS });
+    new.step(SchedulerEvent::HandOverReceived(given));
     for replica in ["a", "b", "c"] {
-        new.status(replica, UpstreamState::Serving);
+        new.report_status(replica, UpstreamState::Serving);
     }
     for _ in 0..8 {
         new.submit();
@@ -48,51 +48,51 @@
         let lent = u32::from(name == replica);
         assert_eq!(new.in_flight(name), 2 - lent, "what the old home uses stays free");
     }
-    new.pass(99 * MS);
+    new.advance(99 * MS);
     assert_eq!(new.in_flight(&replica), 1, "until the old home's deadline");
 }
 
 // The hand-over comes before the new home has read any status. A query that is refused then as
 // "not held", though the replica holds the snapshot, is thinner for a planned move.
 #[test]
-fn hand_over_first() {
-    let mut old = Bench::warm();
-    old.step(LaneEvent::LoseHome { me: "vm-1".into() });
-    let mut new = Bench::unheard();
-    new.step(LaneEvent::BecomeHome { view_skew_us: 3_000 * MS });
-    new.step(LaneEvent::HandedOver(old.hand_overs.remove(0)));
+fn hand_over_before_status() {
+    let mut old = SchedulerHarness::warm();
+    old.step(SchedulerEvent::LoseHome { local_node: "vm-1".into() });
+    let mut new = SchedulerHarness::without_status();
+    new.step(SchedulerEvent::BecomeHome { view_skew_us: 3_000 * MS });
+    new.step(SchedulerEvent::HandOverReceived(old.hand_overs.remove(0)));
     let key = new.submit();
     assert!(new.replies.is_empty(), "it waits for a status: {:?}", new.replies);
     for replica in ["a", "b", "c"] {
-        new.status(replica, UpstreamState::Serving);
+        new.report_status(replica, UpstreamState::Serving);
         assert_eq!((new.phase(replica).as_str(), new.limit(replica)), ("serving", 2));
     }
-    new.end_sub(key, AttemptResult::Answered);
+    new.end_first_attempt(key, AttemptResult::Answered);
     assert_eq!(new.replies[&key], SubOutcome::Answered);
 }
 
 // A failure domain goes out and homes move, with one usable replica left. The old home's last
 // send there ends in milliseconds; queries at the new home must not wait for its deadline.
 #[test]
-fn slots_given_back() {
-    let mut old = Bench::warm();
+fn slots_released_by_old_home() {
+    let mut old = SchedulerHarness::warm();
     let running: Vec<_> = (0..6).map(|_| old.submit()).collect();
-    old.step(LaneEvent::LoseHome { me: "vm-1".into() });
+    old.step(SchedulerEvent::LoseHome { local_node: "vm-1".into() });
     let first = old.hand_overs.remove(0);
     for sub in running {
-        old.end_sub(sub, AttemptResult::Answered);
+        old.end_first_attempt(sub, AttemptResult::Answered);
     }
     let last = old.hand_overs.pop().unwrap();
 
     // The two may come in either order.
     for order in [[&first, &last], [&last, &first]] {
-        let mut new = Bench::unheard();
-        new.step(LaneEvent::BecomeHome { view_skew_us: 3_000 * MS });
+        let mut new = SchedulerHarness::without_status();
+        new.step(SchedulerEvent::BecomeHome { view_skew_us: 3_000 * MS });
         for replica in ["a", "b", "c"] {
-            new.status(replica, UpstreamState::Serving);
+            new.report_status(replica, UpstreamState::Serving);
         }
         for given in order {
-            new.step(LaneEvent::HandedOver(given.clone()));
+            new.step(SchedulerEvent::HandOverReceived(given.clone()));
         }
         for _ in 0..8 {
             new.submit();
@@ -103,27 +103,27 @@
 
 // A planned move of a home must not lose or refuse what waits there.
 #[test]
-fn queue_goes_back() {
-    let mut bench = Bench::warm();
+fn queue_returned_to_entry() {
+    let mut bench = SchedulerHarness::warm();
     let keys: Vec<_> = (0..8).map(|_| bench.submit()).collect();
-    bench.step(LaneEvent::LoseHome { me: "vm-1".into() });
+    bench.step(SchedulerEvent::LoseHome { local_node: "vm-1".into() });
     assert_eq!(bench.replies[&keys[7]], SubOutcome::NotHome { may_have_run: false });
     bench.answer_all();
     assert_eq!(bench.replies[&keys[0]], SubOutcome::Answered);
 }
 
 #[test]
-fn fallback_stays_narrow() {
-    let mut bench = Bench::unheard();
+fn fallback_keeps_limit_one() {
+    let mut bench = SchedulerHarness::without_status();
     for replica in ["a", "b", "c"] {
-        bench.status(replica, UpstreamState::Serving);
+        bench.report_status(replica, UpstreamState::Serving);
     }
     for _ in 0..200 {
         for _ in 0..4 {
             bench.submit();
         }
         assert!(["a", "b", "c"].iter().all(|replica| bench.in_flight(replica) <= 1));
-        bench.pass(50 * MS);
+        bench.advance(50 * MS);
         bench.answer_all();
     }
 }
--- a/crates/sassafrasproxy-core/tests/membership.rs
+++ b/crates/sassafrasproxy-core/tests/membership.rs
@@ -2,15 +2,15 @@
 
 mod cluster;
 
-use cluster::{Cluster, MS, name, services};
+use cluster::{Cluster, MS, node_name, services};
 use sassafrasproxy_core::{ControlEvent, ControlPolicy};
 use sassafrasproxy_wire::MemberState;
 
 const NODES: usize = 8;
 
-fn start() -> Cluster {
+fn start_cluster() -> Cluster {
     let mut cluster = Cluster::start(NODES, 4, ControlPolicy::default());
-    cluster.run(3_000 * MS);
+    cluster.advance(3_000 * MS);
     for node in 0..NODES {
         assert_eq!(cluster.alive_seen_by(node), NODES);
     }
@@ -19,16 +19,16 @@
 
 #[test]
 fn all_join() {
-    start();
+    start_cluster();
 }
 
 // A VM fails. Its groups need a new home within seconds, in every node's view.
 #[test]
-fn death_noticed() {
-    let mut cluster = start();
+fn crash_detected() {
+    let mut cluster = start_cluster();
     cluster.is_up[3] = false;
     let skew_us = ControlPolicy::default().view_skew_us();
-    cluster.run(skew_us + 1_000 * MS);
+    cluster.advance(skew_us + 1_000 * MS);
     for node in (0..NODES).filter(|node| *node != 3) {
         assert_eq!(cluster.state_seen_by(node, 3), Some(MemberState::Dead), "seen by {node}");
     }
@@ -38,12 +38,12 @@
 // up at once; it must refute and stay.
 #[test]
 fn short_pause() {
-    let mut cluster = start();
+    let mut cluster = start_cluster();
     cluster.is_up[3] = false;
-    cluster.run(900 * MS);
+    cluster.advance(900 * MS);
     cluster.is_up[3] = true;
     for _ in 0..40 {
-        cluster.run(100 * MS);
+        cluster.advance(100 * MS);
         let is_dead = |node| cluster.state_seen_by(node, 3) == Some(MemberState::Dead);
         assert!(!(0..NODES).any(is_dead), "given up after a short pause");
     }
@@ -52,12 +52,12 @@
 
 #[test]
 fn long_pause() {
-    let mut cluster = start();
+    let mut cluster = start_cluster();
     cluster.is_up[3] = false;
-    cluster.run(10_000 * MS);
+    cluster.advance(10_000 * MS);
     assert_eq!(cluster.state_seen_by(0, 3), Some(MemberState::Dead));
     cluster.is_up[3] = true;
-    cluster.run(10_000 * MS);
+    cluster.advance(10_000 * MS);
     for node in 0..NODES {
         assert_eq!(cluster.alive_seen_by(node), NODES, "seen by {node}");
     }
@@ -66,11 +66,11 @@
 // One path between two nodes is lost. Both are well and reach all others, so neither may be
 // even suspected; the indirect probes must clear them.
 #[test]
-fn one_bad_path() {
-    let mut cluster = start();
-    cluster.split(&[2], &[5]);
+fn one_broken_link() {
+    let mut cluster = start_cluster();
+    cluster.partition(&[2], &[5]);
     for _ in 0..100 {
-        cluster.run(100 * MS);
+        cluster.advance(100 * MS);
         for node in 0..NODES {
             assert_eq!(cluster.alive_seen_by(node), NODES, "seen by {node}");
         }
@@ -79,41 +79,41 @@
 
 // Regions lose each other for a while and find each other again, without an operator.
 #[test]
-fn split_heals() {
-    let mut cluster = start();
-    cluster.split(&[0, 1, 2, 3], &[4, 5, 6, 7]);
-    cluster.run(120_000 * MS);
+fn partition_heals() {
+    let mut cluster = start_cluster();
+    cluster.partition(&[0, 1, 2, 3], &[4, 5, 6, 7]);
+    cluster.advance(120_000 * MS);
     assert_eq!((cluster.alive_seen_by(0), cluster.alive_seen_by(7)), (4, 4));
-    cluster.cuts.clear();
-    cluster.run(20_000 * MS);
+    cluster.blocked_links.clear();
+    cluster.advance(20_000 * MS);
     for node in 0..NODES {
         assert_eq!(cluster.alive_seen_by(node), NODES, "seen by {node}");
     }
 }
 
 #[test]
-fn planned_leave() {
-    let mut cluster = start();
+fn graceful_leave() {
+    let mut cluster = start_cluster();
     cluster.publish(|configuration| configuration.services = services(50, 4));
-    cluster.run(3_000 * MS);
-    assert!(cluster.view(0).homes.values().any(|ranked| ranked[0] == name(3)));
+    cluster.advance(3_000 * MS);
+    assert!(cluster.view(0).homes.values().any(|ranked| ranked[0] == node_name(3)));
     cluster.nodes[3].step(cluster.now_us, ControlEvent::Shutdown);
-    cluster.run(3_000 * MS);
+    cluster.advance(3_000 * MS);
     for node in 0..NODES {
         assert_eq!(cluster.state_seen_by(node, 3), Some(MemberState::Leaving));
-        assert!(cluster.view(node).homes.values().all(|ranked| ranked[0] != name(3)));
+        assert!(cluster.view(node).homes.values().all(|ranked| ranked[0] != node_name(3)));
     }
 }
 
 // A VM is replaced by one of the same name. What others remember of the old one must not keep
 // the new one out.
 #[test]
-fn same_name() {
-    let mut cluster = start();
+fn replaced_node_same_name() {
+    let mut cluster = start_cluster();
     cluster.is_up[3] = false;
-    cluster.run(10_000 * MS);
+    cluster.advance(10_000 * MS);
     cluster.join(3, 4);
-    cluster.run(5_000 * MS);
+    cluster.advance(5_000 * MS);
     for node in 0..NODES {
         assert_eq!(cluster.alive_seen_by(node), NODES, "seen by {node}");
     }
--- a/crates/sassafrasproxy-core/tests/spread_parts.rs
+++ b/crates/sassafrasproxy-core/tests/part_distribution.rs
@@ -1,30 +1,30 @@
 //! Sharing the parts of a query out among nodes.
 
-use sassafrasproxy_core::spread_parts;
+use sassafrasproxy_core::distribute_parts;
 
 /// Guards against a node that sends hundreds of parts one after the other beside idle ones.
 #[test]
 fn many_parts() {
-    assert_eq!(spread_parts(43, 3, 125), [15, 14, 14]);
-    assert_eq!(spread_parts(400, 4, 500), [100; 4]);
-    assert_eq!(spread_parts(200, 50, 1_000), [100, 100]);
+    assert_eq!(distribute_parts(43, 3, 125), [15, 14, 14]);
+    assert_eq!(distribute_parts(400, 4, 500), [100; 4]);
+    assert_eq!(distribute_parts(200, 50, 1_000), [100, 100]);
 }
 
 /// Guards against messages to other nodes that save nothing.
 #[test]
 fn few_parts() {
-    assert_eq!(spread_parts(43, 3, 500), [43]);
-    assert_eq!(spread_parts(16, 3, 125), [16]);
-    assert_eq!(spread_parts(0, 3, 125), [0]);
+    assert_eq!(distribute_parts(43, 3, 500), [43]);
+    assert_eq!(distribute_parts(16, 3, 125), [16]);
+    assert_eq!(distribute_parts(0, 3, 125), [0]);
 }
 
 /// Guards against parts that nobody sends.
 #[test]
-fn nobody_to_help() {
+fn all_parts_assigned() {
     for parts in 0..300 {
         for nodes in 0..20 {
             for cpu_millis in [0, 10, 120, 1_000] {
-                let shares = spread_parts(parts, nodes, cpu_millis);
+                let shares = distribute_parts(parts, nodes, cpu_millis);
                 assert_eq!(shares.iter().sum::<usize>(), parts, "{parts} among {nodes}");
                 assert!(shares.len() <= nodes.max(1));
             }
--- a/crates/sassafrasproxy-core/tests/replica_choice.rs
+++ b/crates/sassafrasproxy-core/tests/replica_choice.rs
@@ -32,7 +32,7 @@
             is_draining: false,
             cold_for_ms: if warmup.is_some() { 3_000 } else { 0 },
         };
-        let replica = CatalogueReplica::open(entry, 0);
+        let replica = CatalogueReplica::eligible(entry, 0);
         ((*id).into(), replica)
     });
     Catalogue {
@@ -56,40 +56,40 @@
 }
 
 /// Sends to a replica, and ends the send after a time.
-fn exchange(pool: &mut UpstreamPool, id: &str, now_us: u64, took_us: u64, end: SendOutcome) {
-    let send = pool.start(id, now_us, EXPECTED_US, PATIENCE_US).unwrap();
-    pool.finish(id, send, now_us + took_us, end, None);
+fn complete_send(pool: &mut UpstreamPool, id: &str, now_us: u64, took_us: u64, end: SendOutcome) {
+    let send = pool.start_send(id, now_us, EXPECTED_US, PATIENCE_US).unwrap();
+    pool.finish_send(id, send, now_us + took_us, end, None);
 }
 
 #[test]
-fn near_first() {
+fn prefers_own_domain() {
     let mut pool = pool(&[("far", "east"), ("near", "west")], 8);
     for at in 0..10 {
         assert_eq!(pick(&mut pool, at).unwrap(), "near");
-        exchange(&mut pool, "near", at, EXPECTED_US, SendOutcome::Answered);
+        complete_send(&mut pool, "near", at, EXPECTED_US, SendOutcome::Answered);
     }
 }
 
 /// A replica stands still for a tenth of a second. The first request that waits beyond its usual
 /// time shows it, and new ones go to the sibling until it answers.
 #[test]
-fn stalled() {
+fn stalled_replica() {
     let mut pool = pool(&[("near", "west"), ("far", "east")], 8);
-    let send = pool.start("near", 0, EXPECTED_US, PATIENCE_US).unwrap();
+    let send = pool.start_send("near", 0, EXPECTED_US, PATIENCE_US).unwrap();
     assert_eq!(pick(&mut pool, PATIENCE_US - 1).unwrap(), "near");
     assert_eq!(pick(&mut pool, PATIENCE_US).unwrap(), "far");
-    pool.finish("near", send, 30_000, SendOutcome::Cancelled, None);
+    pool.finish_send("near", send, 30_000, SendOutcome::Cancelled, None);
     assert_eq!(pick(&mut pool, 30_000).unwrap(), "near");
 }
 
 /// A replica works eight times as slowly for some seconds. It is left after a few answers, and
 /// tried again within three seconds.
 #[test]
-fn slow() {
+fn slow_replica() {
     let mut pool = pool(&[("near", "west"), ("far", "east")], 8);
     let mut now_us = 0;
     for _ in 0..4 {
-        exchange(&mut pool, "near", now_us, 8 * EXPECTED_US, SendOutcome::Answered);
+        complete_send(&mut pool, "near", now_us, 8 * EXPECTED_US, SendOutcome::Answered);
         now_us += 100_000;
     }
     assert_eq!(pick(&mut pool, now_us).unwrap(), "far");
@@ -98,21 +98,21 @@
 
 /// One request in a hundred takes five times as long everywhere: that alone moves no work.
 #[test]
-fn straggler() {
+fn single_straggler() {
     let mut pool = pool(&[("near", "west"), ("far", "east")], 8);
-    exchange(&mut pool, "near", 0, 5 * EXPECTED_US, SendOutcome::Answered);
-    exchange(&mut pool, "near", 60_000, EXPECTED_US, SendOutcome::Answered);
+    complete_send(&mut pool, "near", 0, 5 * EXPECTED_US, SendOutcome::Answered);
+    complete_send(&mut pool, "near", 60_000, EXPECTED_US, SendOutcome::Answered);
     assert_eq!(pick(&mut pool, 100_000).unwrap(), "near");
 }
 
 /// A process is down: its address refuses connections. It is left alone for a while that grows,
 /// and gets work within 1.6 s of its return.
 #[test]
-fn unreachable() {
+fn unreachable_replica() {
     let mut pool = pool(&[("near", "west")], 8);
     let mut now_us = 0;
     for failure in 0..8 {
-        exchange(&mut pool, "near", now_us, 100, SendOutcome::Unreachable);
+        complete_send(&mut pool, "near", now_us, 100, SendOutcome::Unreachable);
         now_us += 100;
         assert_eq!(pick(&mut pool, now_us), None, "after failure {failure}");
         assert!(pool.usable_in_us("s", now_us).unwrap() > 0);
@@ -123,10 +123,10 @@
 
 /// Replicas fail part of their requests while they look sound: the sibling gets more.
 #[test]
-fn failing() {
+fn failing_replica() {
     let mut pool = pool(&[("near", "west"), ("far", "east")], 8);
     for at in 0..4 {
-        exchange(&mut pool, "near", at * 1_000, 500, SendOutcome::Faulty);
+        complete_send(&mut pool, "near", at * 1_000, 500, SendOutcome::Faulty);
     }
     assert_eq!(pick(&mut pool, 5_000).unwrap(), "far");
 }
@@ -135,8 +135,8 @@
 #[test]
 fn reported_load() {
     let mut pool = pool(&[("near", "west"), ("far", "east")], 8);
-    let send = pool.start("near", 0, EXPECTED_US, PATIENCE_US).unwrap();
-    pool.finish("near", send, EXPECTED_US, SendOutcome::Answered, Some(9));
+    let send = pool.start_send("near", 0, EXPECTED_US, PATIENCE_US).unwrap();
+    pool.finish_send("near", send, EXPECTED_US, SendOutcome::Answered, Some(9));
     assert_eq!(pick(&mut pool, EXPECTED_US).unwrap(), "far");
     assert_eq!(pick(&mut pool, EXPECTED_US + 100_000).unwrap(), "near", "old news");
 }
@@ -147,7 +147,7 @@
     let mut pool = pool(&[("near", "west")], 16);
     for _ in 0..4 {
         assert!(pick(&mut pool, 0).is_some());
-        pool.start("near", 0, EXPECTED_US, PATIENCE_US).unwrap();
+        pool.start_send("near", 0, EXPECTED_US, PATIENCE_US).unwrap();
     }
     assert_eq!(pick(&mut pool, 0), None, "four of sixty-four for each of sixteen nodes");
 }
@@ -167,8 +167,8 @@
     for now_us in (0..3_000_000).step_by(5_000) {
         for pool in &mut pools {
             if pool.pick("s", now_us, EXPECTED_US, &[]).is_some() {
-                let send = pool.start("near", now_us, EXPECTED_US, PATIENCE_US).unwrap();
-                pool.finish("near", send, now_us + 1, SendOutcome::Answered, None);
+                let send = pool.start_send("near", now_us, EXPECTED_US, PATIENCE_US).unwrap();
+                pool.finish_send("near", send, now_us + 1, SendOutcome::Answered, None);
                 sends.push(now_us);
             }
         }
@@ -182,10 +182,10 @@
 
 /// A replica starts again under its old id: what was known of the old life does not count.
 #[test]
-fn born_again() {
+fn restarted_replica() {
     let mut pool = pool(&[("near", "west")], 8);
     for at in 0..6 {
-        exchange(&mut pool, "near", at, 100, SendOutcome::Unreachable);
+        complete_send(&mut pool, "near", at, 100, SendOutcome::Unreachable);
     }
     assert_eq!(pick(&mut pool, 200), None);
     let mut next = catalogue(&[("near", "west")], None);
@@ -201,29 +201,29 @@
 #[test]
 fn idle_connections() {
     let few = pool(&[("a", "west")], 8);
-    assert_eq!(few.idle_limit("a", 200, true), 8);
-    assert_eq!(few.idle_limit("a", 200, false), 0);
-    assert_eq!(few.idle_limit("a", 30, false), 2, "room for all");
-    assert_eq!(few.idle_limit("gone", 30, true), 0);
+    assert_eq!(few.max_idle_connections("a", 200, true), 8);
+    assert_eq!(few.max_idle_connections("a", 200, false), 0);
+    assert_eq!(few.max_idle_connections("a", 30, false), 2, "room for all");
+    assert_eq!(few.max_idle_connections("gone", 30, true), 0);
 }
 
 /// Both replicas of a shard work four times as slowly, and the near one has no free slot by its
 /// own word of a moment ago. The wait for one is four times as long as a sound replica's: queries
 /// sent into it came late while the sibling had a slot free.
 #[test]
-fn slow_queue() {
+fn queue_of_slow_replica() {
     let mut pool = pool(&[("near", "west"), ("far", "east")], 8);
     let mut now_us = 0;
     for _ in 0..30 {
         for id in ["near", "far"] {
-            exchange(&mut pool, id, now_us, 4 * EXPECTED_US, SendOutcome::Answered);
+            complete_send(&mut pool, id, now_us, 4 * EXPECTED_US, SendOutcome::Answered);
         }
         now_us += 10_000;
     }
     assert_eq!(pick(&mut pool, now_us).unwrap(), "near");
-    let send = pool.start("near", now_us, EXPECTED_US, 10 * PATIENCE_US).unwrap();
+    let send = pool.start_send("near", now_us, EXPECTED_US, 10 * PATIENCE_US).unwrap();
     now_us += 4 * EXPECTED_US;
-    pool.finish("near", send, now_us, SendOutcome::Answered, Some(2));
+    pool.finish_send("near", send, now_us, SendOutcome::Answered, Some(2));
     assert_eq!(pick(&mut pool, now_us + 20_000).unwrap(), "far");
 }
 
@@ -231,30 +231,30 @@
 /// its queue grow until every answer is late: once it has been slow for longer than a pause, a node
 /// has room for no more than its eighth of the two slots.
 #[test]
-fn slow_for_long() {
+fn persistently_slow_replica() {
     let mut pool = pool(&[("near", "west")], 8);
-    let slow = |pool: &UpstreamPool, now_us| pool.prospect("s", now_us, EXPECTED_US).unwrap().slow;
+    let slow = |pool: &UpstreamPool, now_us| pool.forecast("s", now_us, EXPECTED_US).unwrap().slow;
     let took_us = 8 * EXPECTED_US;
     let mut now_us = 0;
     for _ in 0..3 {
-        exchange(&mut pool, "near", now_us, took_us, SendOutcome::Answered);
+        complete_send(&mut pool, "near", now_us, took_us, SendOutcome::Answered);
         now_us += took_us;
     }
     assert!(slow(&pool, now_us).is_none(), "a pause may last as long");
-    exchange(&mut pool, "near", now_us, took_us, SendOutcome::Answered);
+    complete_send(&mut pool, "near", now_us, took_us, SendOutcome::Answered);
     now_us += took_us;
-    assert!(slow(&pool, now_us).unwrap().room < 0.0, "four sends in a quarter of a second");
+    assert!(slow(&pool, now_us).unwrap().tokens < 0.0, "four sends in a quarter of a second");
     // A quarter of a slot does one send of 64 ms in 256 ms.
     let start_us = now_us;
     let mut sends = 0;
     while now_us < start_us + 2_000_000 {
-        if slow(&pool, now_us).is_some_and(|slow| slow.room >= 1.0) {
-            exchange(&mut pool, "near", now_us, took_us, SendOutcome::Answered);
+        if slow(&pool, now_us).is_some_and(|slow| slow.tokens >= 1.0) {
+            complete_send(&mut pool, "near", now_us, took_us, SendOutcome::Answered);
             sends += 1;
         }
         now_us += took_us;
     }
     assert!((5..=9).contains(&sends), "{sends} sends in two seconds");
-    exchange(&mut pool, "near", now_us, EXPECTED_US, SendOutcome::Answered);
+    complete_send(&mut pool, "near", now_us, EXPECTED_US, SendOutcome::Answered);
     assert!(slow(&pool, now_us + EXPECTED_US).is_none(), "it is quick again");
 }
--- a/crates/sassafrasproxy-core/tests/claims.rs
+++ b/crates/sassafrasproxy-core/tests/request_claims.rs
@@ -11,7 +11,7 @@
 use indexmap::{IndexMap, IndexSet};
 use proptest::prelude::*;
 use sassafrasproxy_core::{
-    ClaimBucket, ClaimEffect, ClaimEvent, ClaimPolicy, StoreCall, StoreResult, Ticket,
+    ClaimBucket, ClaimEffect, ClaimEvent, ClaimId, ClaimPolicy, StoreCall, StoreResult,
 };
 use sassafrasproxy_wire::{ClaimAnswer, ClaimRequest, Ending, RecordRequest};
 
@@ -38,15 +38,15 @@
     /// A write that was given up and takes effect late.
     delayed: Option<StoreCall>,
     skew_ms: u64,
-    lives: u32,
+    restarts: u32,
 }
 
-struct World {
+struct Simulation {
     now_ms: u64,
     store: BTreeMap<EcoString, EcoString>,
     nodes: Vec<Node>,
     /// Each ticket's node, token and key.
-    asked: IndexMap<(usize, Ticket), (EcoString, EcoString)>,
+    pending_claims: IndexMap<(usize, ClaimId), (EcoString, EcoString)>,
     answers: IndexMap<EcoString, ClaimAnswer>,
     /// For each key, the tokens that were granted and whether each is known not to have run.
     grants: IndexMap<EcoString, IndexMap<EcoString, bool>>,
@@ -54,13 +54,13 @@
     writes: u64,
 }
 
-impl World {
+impl Simulation {
     fn new(count: usize) -> Self {
         let mut world = Self {
             now_ms: EPOCH_MS * 100 + 1_000,
             store: BTreeMap::new(),
             nodes: Vec::new(),
-            asked: IndexMap::new(),
+            pending_claims: IndexMap::new(),
             answers: IndexMap::new(),
             grants: IndexMap::new(),
             next_ticket: 0,
@@ -69,8 +69,8 @@
         for node in 0..count {
             // The second node's clock is ahead, so that epochs turn at different times.
             let skew_ms = node as u64 * 700;
-            let bucket = bucket(node, 0, world.now_ms + skew_ms);
-            world.nodes.push(Node { bucket, call: None, delayed: None, skew_ms, lives: 0 });
+            let bucket = new_bucket(node, 0, world.now_ms + skew_ms);
+            world.nodes.push(Node { bucket, call: None, delayed: None, skew_ms, restarts: 0 });
         }
         world
     }
@@ -84,9 +84,9 @@
                     let old = self.nodes[node].call.replace(call);
                     assert_eq!(old, None, "one call at a time");
                 }
-                ClaimEffect::Answer { ticket, answer } => {
+                ClaimEffect::Answer { claim_id: ticket, answer } => {
                     let (token, key) =
-                        self.asked.swap_remove(&(node, ticket)).expect("answered once");
+                        self.pending_claims.swap_remove(&(node, ticket)).expect("answered once");
                     if answer == ClaimAnswer::Granted {
                         self.grant(&key, token.clone());
                     }
@@ -109,11 +109,11 @@
 
     fn claim(&mut self, node: usize, key: &str, fingerprint: u64) -> EcoString {
         self.next_ticket += 1;
-        let ticket = Ticket(self.next_ticket);
+        let ticket = ClaimId(self.next_ticket);
         let token = eco_format!("token-{}", self.next_ticket);
-        self.asked.insert((node, ticket), (token.clone(), key.into()));
+        self.pending_claims.insert((node, ticket), (token.clone(), key.into()));
         let request = ClaimRequest { key: key.into(), token: token.clone(), fingerprint };
-        self.step(node, ClaimEvent::Claim { ticket, request });
+        self.step(node, ClaimEvent::Claim { claim_id: ticket, request });
         token
     }
 
@@ -122,20 +122,20 @@
             self.grants[key][token] = true;
         }
         let request = RecordRequest { key: key.into(), token: token.clone(), ending };
-        self.step(node, ClaimEvent::Record(request));
+        self.step(node, ClaimEvent::RecordEnding(request));
     }
 
     /// Ends the call that a node waits for.
     fn end_call(&mut self, node: usize, fault: Fault) {
         if let Some(delayed) = self.nodes[node].delayed.take() {
-            self.run(&delayed);
+            self.apply_call(&delayed);
         }
         let Some(call) = self.nodes[node].call.take() else { return };
         let result = match fault {
-            Fault::None => self.run(&call),
+            Fault::None => self.apply_call(&call),
             Fault::Lost => StoreResult::Failed,
             Fault::LostAnswer => {
-                self.run(&call);
+                self.apply_call(&call);
                 StoreResult::Failed
             }
             Fault::Delayed => {
@@ -143,10 +143,10 @@
                 StoreResult::Failed
             }
         };
-        self.step(node, ClaimEvent::Called(result));
+        self.step(node, ClaimEvent::CallFinished(result));
     }
 
-    fn run(&mut self, call: &StoreCall) -> StoreResult {
+    fn apply_call(&mut self, call: &StoreCall) -> StoreResult {
         match call {
             StoreCall::List { prefix } => {
                 let items = self.store.iter().filter(|(key, _)| key.starts_with(prefix.as_str()));
@@ -157,7 +157,7 @@
                 None => StoreResult::Absent,
             },
             StoreCall::Write { key, .. } if self.store.contains_key(key) => StoreResult::Conflict,
-            StoreCall::Write { key, text } => {
+            StoreCall::Write { key, value: text } => {
                 self.writes += 1;
                 self.store.insert(key.clone(), text.clone());
                 StoreResult::Written
@@ -168,14 +168,14 @@
     /// Kills a node; a write on its way may still take effect, now.
     fn kill(&mut self, node: usize, write_lands: bool) {
         let one = &mut self.nodes[node];
-        one.lives += 1;
-        let (lives, wall_ms) = (one.lives, self.now_ms + one.skew_ms);
-        one.bucket = bucket(node, lives, wall_ms);
+        one.restarts += 1;
+        let (lives, wall_ms) = (one.restarts, self.now_ms + one.skew_ms);
+        one.bucket = new_bucket(node, lives, wall_ms);
         let call = one.call.take();
         if let Some(call) = call.filter(|_| write_lands) {
-            self.run(&call);
+            self.apply_call(&call);
         }
-        self.asked.retain(|(at, _), _| *at != node);
+        self.pending_claims.retain(|(at, _), _| *at != node);
     }
 
     /// Lets every call end well until nothing waits.
@@ -190,14 +190,14 @@
     }
 }
 
-fn bucket(node: usize, lives: u32, wall_ms: u64) -> ClaimBucket {
+fn new_bucket(node: usize, lives: u32, wall_ms: u64) -> ClaimBucket {
     let policy = ClaimPolicy { epoch_ms: EPOCH_MS, ..ClaimPolicy::default() };
     ClaimBucket::new(3, eco_format!("life-{node}-{lives}"), policy, wall_ms)
 }
 
 #[test]
-fn first_only() {
-    let mut world = World::new(2);
+fn one_grant_per_key() {
+    let mut world = Simulation::new(2);
     let first = world.claim(0, "order-1", 1);
     let second = world.claim(1, "order-1", 1);
     world.settle();
@@ -207,8 +207,8 @@
 }
 
 #[test]
-fn repeat_gets_answer() {
-    let mut world = World::new(2);
+fn repeat_gets_recorded_answer() {
+    let mut world = Simulation::new(2);
     let token = world.claim(0, "order-1", 1);
     world.settle();
     let text = Some("printed".into());
@@ -221,8 +221,8 @@
 }
 
 #[test]
-fn free_if_not_run() {
-    let mut world = World::new(2);
+fn key_free_after_not_run() {
+    let mut world = Simulation::new(2);
     let token = world.claim(0, "order-1", 1);
     world.settle();
     world.record(0, "order-1", &token, Ending::NotRun);
@@ -234,8 +234,8 @@
 
 // The store is away. Whoever orders must hear at once that nothing ran, not wait.
 #[test]
-fn store_away() {
-    let mut world = World::new(1);
+fn store_unavailable() {
+    let mut world = Simulation::new(1);
     let token = world.claim(0, "order-1", 1);
     world.end_call(0, Fault::Lost);
     assert_eq!(world.answers[&token], ClaimAnswer::Unavailable);
@@ -248,8 +248,8 @@
 }
 
 #[test]
-fn one_write_for_many() {
-    let mut world = World::new(1);
+fn claims_share_one_write() {
+    let mut world = Simulation::new(1);
     world.claim(0, "warm-up", 1);
     world.settle();
     let before = world.writes;
@@ -263,8 +263,8 @@
 // Clocks of two nodes differ at the turn of an epoch. A key that was claimed just before it on
 // one must not be granted again by the other, which is already in the next epoch.
 #[test]
-fn epoch_turn() {
-    let mut world = World::new(2);
+fn epoch_change() {
+    let mut world = Simulation::new(2);
     world.claim(0, "order-0", 1);
     world.claim(1, "order-0", 1);
     world.settle();
@@ -279,15 +279,15 @@
 
 /// One thing that happens.
 #[derive(Debug, Clone)]
-enum Turn {
+enum Action {
     Claim { node: usize, key: u8 },
     EndCall { node: usize, fault: Fault },
     Record { node: usize, key: u8, ending: Ending },
-    Kill { node: usize, write_lands: bool },
-    Pass { ms: u64 },
+    Kill { node: usize, write_applied: bool },
+    Advance { ms: u64 },
 }
 
-fn any_turn() -> impl Strategy<Value = Turn> {
+fn any_action() -> impl Strategy<Value = Action> {
     let fault = prop_oneof![
         8 => Just(Fault::None),
         1 => Just(Fault::Lost),
@@ -302,13 +302,13 @@
     let node = 0..3_usize;
     let key = 0..4_u8;
     prop_oneof![
-        6 => (node.clone(), key.clone()).prop_map(|(node, key)| Turn::Claim { node, key }),
-        12 => (node.clone(), fault).prop_map(|(node, fault)| Turn::EndCall { node, fault }),
+        6 => (node.clone(), key.clone()).prop_map(|(node, key)| Action::Claim { node, key }),
+        12 => (node.clone(), fault).prop_map(|(node, fault)| Action::EndCall { node, fault }),
         2 => (node.clone(), key, ending)
-            .prop_map(|(node, key, ending)| Turn::Record { node, key, ending }),
+            .prop_map(|(node, key, ending)| Action::Record { node, key, ending }),
         1 => (node, any::<bool>())
-            .prop_map(|(node, write_lands)| Turn::Kill { node, write_lands }),
-        6 => prop_oneof![4 => 1..100_u64, 1 => 1_000..4_000_u64].prop_map(|ms| Turn::Pass { ms }),
+            .prop_map(|(node, write_lands)| Action::Kill { node, write_applied: write_lands }),
+        6 => prop_oneof![4 => 1..100_u64, 1 => 1_000..4_000_u64].prop_map(|ms| Action::Advance { ms }),
     ]
 }
 
@@ -318,19 +318,19 @@
 // are kept within the two epochs for which a key is kept.
 proptest! {
     #[test]
-    fn any_views(turns in prop::collection::vec(any_turn(), 1..150)) {
-        let mut world = World::new(3);
+    fn conflicting_views(turns in prop::collection::vec(any_action(), 1..150)) {
+        let mut world = Simulation::new(3);
         let start_ms = world.now_ms;
         let mut keys: IndexSet<EcoString> = IndexSet::new();
         for turn in turns {
             match turn {
-                Turn::Claim { node, key } => {
+                Action::Claim { node, key } => {
                     let key = eco_format!("order-{key}");
                     keys.insert(key.clone());
                     world.claim(node, &key, 1);
                 }
-                Turn::EndCall { node, fault } => world.end_call(node, fault),
-                Turn::Record { node, key, ending } => {
+                Action::EndCall { node, fault } => world.end_call(node, fault),
+                Action::Record { node, key, ending } => {
                     let key = eco_format!("order-{key}");
                     let running = world.grants.get(&key).and_then(|grants| {
                         grants.iter().find(|(_, is_free)| !**is_free).map(|(token, _)| token)
@@ -339,8 +339,8 @@
                         world.record(node, &key, &token, ending);
                     }
                 }
-                Turn::Kill { node, write_lands } => world.kill(node, write_lands),
-                Turn::Pass { ms } => {
+                Action::Kill { node, write_applied } => world.kill(node, write_applied),
+                Action::Advance { ms } => {
                     world.now_ms = (world.now_ms + ms).min(start_ms + EPOCH_MS);
                     for node in 0..3 {
                         world.step(node, ClaimEvent::Timer);
@@ -349,6 +349,6 @@
             }
         }
         world.settle();
-        prop_assert!(world.asked.is_empty(), "every claim is answered");
+        prop_assert!(world.pending_claims.is_empty(), "every claim is answered");
     }
 }
--- a/crates/sassafrasproxy-core/tests/retry_budgets.rs
+++ b/crates/sassafrasproxy-core/tests/retry_budgets.rs
@@ -17,7 +17,7 @@
     /// start again without memory of what they spent. No ten seconds may see more extra sends
     /// than a fifth of the requests and 56 more, over all nodes.
     #[test]
-    fn whole_fleet(
+    fn fleet_stays_within_budget(
         loads in prop::collection::vec(0_u32..20, NODES),
         restarts in prop::collection::vec((0_u64..40, 0..NODES), 0..6),
     ) {
@@ -37,7 +37,7 @@
             let (mut spent, mut asked) = (0_u32, 0_u32);
             for (budget, load) in budgets.iter_mut().zip(&loads) {
                 for _ in 0..load / 4 {
-                    budget.note_request(&service, now_us);
+                    budget.record_request(&service, now_us);
                     asked += 1;
                 }
                 while budget.spend(&service, now_us, NODES) {
@@ -63,7 +63,7 @@
 
 /// All processes are killed at once, right after every node has spent all it had.
 #[test]
-fn all_restart() {
+fn all_nodes_restart() {
     let service = EcoString::from("s");
     let mut spent = 0;
     for _ in 0..NODES {
@@ -84,7 +84,7 @@
     let service = EcoString::from("s");
     let mut budget = RetryBudget::new(POLICY, 0);
     for _ in 0..1_000 {
-        budget.note_request(&service, 20_000_000);
+        budget.record_request(&service, 20_000_000);
     }
     let mut spent = 0;
     while budget.spend(&service, 20_000_000, NODES) {
@@ -96,7 +96,7 @@
 /// Callers are sent to eight of 74 nodes. Replicas reset answers, and these eight have to send again;
 /// as each had a 74th of the fixed budget, their queries were lost while nine tenths of it lay unused.
 #[test]
-fn few_senders() {
+fn few_ingress_nodes() {
     let service = EcoString::from("s");
     let spend_all = |node: usize| {
         let mut budget = RetryBudget::new(POLICY, 0);
@@ -112,14 +112,14 @@
 /// The eight nodes that callers were sent to are lost right after they spent all they had, and eight
 /// others take over: both together stay within the budget.
 #[test]
-fn senders_change() {
+fn ingress_nodes_change() {
     let service = EcoString::from("s");
     let mut spent = 0;
     for is_old in [true, false] {
         for _ in 0..8 {
             let mut budget = RetryBudget::new(POLICY, 0);
             if !is_old {
-                budget.note_larger_share(20_000_000);
+                budget.restart_ramp(20_000_000);
             }
             while budget.spend(&service, 20_000_000, budget_shares(74, 8, true)) {
                 spent += 1;
@@ -131,7 +131,7 @@
 
 /// Callers are sent to all nodes: each has the same share.
 #[test]
-fn all_senders() {
+fn all_nodes_ingress() {
     assert_eq!(budget_shares(8, 8, true), 8);
     assert_eq!(budget_shares(7, 8, true), 7);
 }
--- a/crates/sassafrasproxy-core/tests/rollout_model/mod.rs
+++ b/crates/sassafrasproxy-core/tests/rollout_model/mod.rs
@@ -11,8 +11,9 @@
 use rand::{RngExt, SeedableRng};
 use rand_distr::{Distribution, Exp};
 use sassafrasproxy_core::{
-    Discovery, DiscoveryEvent, Fact, PoolSettings, ReportPace, RolloutDecider, RolloutEffect,
-    RolloutOrder, RolloutPhase, RolloutPolicy, RolloutRecord, SendId, SendOutcome, UpstreamPool,
+    Discovery, DiscoveryEvent, PoolSettings, RegistryEntry, ReportThrottle, RolloutCoordinator,
+    RolloutEffect, RolloutOrder, RolloutPhase, RolloutPolicy, RolloutRecord, SendId, SendOutcome,
+    UpstreamPool,
 };
 use sassafrasproxy_wire::{CallerLimits, ReplicaEntry, RouteConfiguration, RoutedService};
 
@@ -22,25 +23,25 @@
 const STEP_US: u64 = 10_000;
 
 /// How often nodes tell what they counted, and the decider looks.
-const TRIAL_US: u64 = 250_000;
+const REPORT_INTERVAL_US: u64 = 250_000;
 
 /// How long the fleet runs before the order: nodes know each other by then.
-const SETTLED_US: u64 = 5 * SECOND_US;
+const WARM_UP_US: u64 = 5 * SECOND_US;
 
 /// How long the play goes on after the period.
-const AFTER_US: u64 = 8 * SECOND_US;
+const RUN_AFTER_PERIOD_US: u64 = 8 * SECOND_US;
 
 /// How long a replica usually works, in microseconds.
 const WORK_US: f64 = 40_000.0;
 
 /// The longest that a change of the store takes to reach a node, in microseconds.
-const NEWS_US: u64 = 400_000;
+const MAX_WATCH_DELAY_US: u64 = 400_000;
 
 const ROUTES: u8 = 3;
 
 /// How the new version is.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub enum Manner {
+pub enum VersionBehavior {
     Good,
     /// It fails a part of its requests from a time after the order on, in microseconds.
     Fails {
@@ -64,63 +65,63 @@
 
 /// Trouble that has nothing to do with the version.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Trouble {
+pub enum Fault {
     None,
     /// One replica of the new version fails two in five.
-    GreyNew,
+    OneNewReplicaFails,
     /// One replica of the old version fails two in five.
-    GreyOld,
+    OneOldReplicaFails,
     /// A part of all replicas' answers is lost.
-    LostAnswers,
+    ReplicaAnswersLost,
     /// The store is down for a while.
     StoreDown,
     /// The store does what it is asked, and loses the answers of writes.
-    LosesAnswers,
+    StoreAnswersLost,
     /// The node that decides is killed.
-    DeciderKilled,
+    CoordinatorKilled,
     /// The store turns a third of the nodes away.
-    TurnedAway,
+    StoreRejectsNodes,
     /// All replicas stand still now and then.
-    Pauses,
+    ReplicaPauses,
 }
 
 /// What is played.
 #[derive(Debug, Clone)]
-pub struct Scene {
+pub struct Scenario {
     pub nodes: usize,
     /// How many nodes callers are sent to.
-    pub senders: usize,
+    pub ingress_nodes: usize,
     pub replicas: usize,
     pub per_s: f64,
     pub period_ms: u64,
-    pub manner: Manner,
-    pub trouble: Trouble,
+    pub behavior: VersionBehavior,
+    pub fault: Fault,
     pub policy: RolloutPolicy,
     pub seed: u64,
 }
 
 /// What came of it.
 #[derive(Debug, Clone, Copy, Default)]
-pub struct Played {
+pub struct RolloutResult {
     pub end: Option<RolloutPhase>,
     /// When it ended, in parts of the period after the order.
-    pub end_part: f64,
+    pub end_fraction: f64,
     /// Requests that reached the service until the period was over, and those of the new version.
     pub arrivals: u64,
-    pub exposed: u64,
+    pub exposed_requests: u64,
     /// Bad answers of the new version until it ended.
-    pub bad: u64,
+    pub bad_answers: u64,
     /// Sends to the new version later than five seconds after its 50th bad answer.
     pub late_sends: u64,
     /// Sends to the old version after the end, if it was completed; to the new one otherwise.
     pub wrong_sends: u64,
     /// Sends to the version that had no order, before there was one.
-    pub unordered: u64,
+    pub sends_before_order: u64,
 }
 
-impl Played {
+impl RolloutResult {
     /// How many requests a bad version might have got.
-    pub fn bound(&self, policy: &RolloutPolicy) -> f64 {
+    pub fn max_exposure(&self, policy: &RolloutPolicy) -> f64 {
         policy.exposure_share * self.arrivals as f64 + policy.exposure_slack
     }
 }
@@ -128,23 +129,23 @@
 struct Node {
     discovery: Discovery,
     pool: UpstreamPool,
-    decider: RolloutDecider,
-    pace: ReportPace,
+    coordinator: RolloutCoordinator,
+    throttle: ReportThrottle,
     /// What the store holds that has not come yet, by when it comes.
-    news: Vec<(u64, DiscoveryEvent)>,
+    pending_events: Vec<(u64, DiscoveryEvent)>,
     is_alive: bool,
 }
 
 struct Replica {
     entry: ReplicaEntry,
     running: usize,
-    fails: f64,
-    pause_us: u64,
+    failure_rate: f64,
+    pause_phase_us: u64,
 }
 
-struct Send {
+struct SimulatedSend {
     node: usize,
-    life: u64,
+    incarnation: u64,
     replica: usize,
     send: SendId,
     route: u8,
@@ -153,63 +154,63 @@
 }
 
 /// One play.
-struct Play {
-    scene: Scene,
+struct RolloutSimulation {
+    scenario: Scenario,
     rng: StdRng,
     fleet: Fleet,
     nodes: Vec<Node>,
-    lives: Vec<u64>,
+    incarnations: Vec<u64>,
     replicas: Vec<Replica>,
-    sends: BTreeMap<(u64, u64), Send>,
-    next: u64,
+    sends: BTreeMap<(u64, u64), SimulatedSend>,
+    next_send_id: u64,
     revision: u64,
     order: Option<(RolloutOrder, u64)>,
     record: Option<(RolloutRecord, u64)>,
     ordered_us: u64,
     bad_50th_us: Option<u64>,
     ended_us: Option<u64>,
-    played: Played,
+    result: RolloutResult,
 }
 
 /// Plays a scene to its end.
-pub fn play(scene: Scene) -> Played {
-    let mut play = Play::new(scene);
+pub fn simulate(scene: Scenario) -> RolloutResult {
+    let mut play = RolloutSimulation::new(scene);
     play.run();
-    play.played
+    play.result
 }
 
-impl Play {
-    fn new(scene: Scene) -> Self {
+impl RolloutSimulation {
+    fn new(scene: Scenario) -> Self {
         let rng = StdRng::seed_from_u64(scene.seed);
-        let senders = scene.senders;
+        let senders = scene.ingress_nodes;
         let size = move |at| if at < senders { 500 } else { 120 };
-        let mut fleet = Fleet::sized(scene.nodes, size);
-        fleet.run_us(SETTLED_US);
+        let mut fleet = Fleet::with_cpu(scene.nodes, size);
+        fleet.run_us(WARM_UP_US);
         let mut play = Self {
             rng,
             nodes: Vec::new(),
-            lives: vec![0; scene.nodes],
+            incarnations: vec![0; scene.nodes],
             replicas: Vec::new(),
             sends: BTreeMap::new(),
-            next: 0,
+            next_send_id: 0,
             revision: 10,
             order: None,
             record: None,
             ordered_us: 0,
             bad_50th_us: None,
             ended_us: None,
-            played: Played::default(),
+            result: RolloutResult::default(),
             fleet,
-            scene,
+            scenario: scene,
         };
-        for at in 0..play.scene.replicas {
+        for at in 0..play.scenario.replicas {
             play.add_replica("v1", at);
         }
-        for at in 0..play.scene.nodes {
+        for at in 0..play.scenario.nodes {
             let node = play.node(at);
             play.nodes.push(node);
         }
-        for at in 0..play.scene.nodes {
+        for at in 0..play.scenario.nodes {
             play.start(at);
         }
         play
@@ -228,22 +229,27 @@
             is_draining: false,
             cold_for_ms: 0,
         };
-        let is_grey = match self.scene.trouble {
-            Trouble::GreyNew => version == "v2" && at == 0,
-            Trouble::GreyOld => version == "v1" && at == 0,
+        let is_grey = match self.scenario.fault {
+            Fault::OneNewReplicaFails => version == "v2" && at == 0,
+            Fault::OneOldReplicaFails => version == "v1" && at == 0,
             _ => false,
         };
-        let fails = match self.scene.trouble {
-            Trouble::LostAnswers => 0.03,
+        let fails = match self.scenario.fault {
+            Fault::ReplicaAnswersLost => 0.03,
             _ if is_grey => 0.4,
             _ => 0.002,
         };
         let pause_us = self.rng.random_range(0..4_500_000);
-        self.replicas.push(Replica { entry, running: 0, fails, pause_us });
+        self.replicas.push(Replica {
+            entry,
+            running: 0,
+            failure_rate: fails,
+            pause_phase_us: pause_us,
+        });
     }
 
     fn node(&self, at: usize) -> Node {
-        let scope = sassafrasproxy_core::RolloutScope { node: node_name(at) };
+        let scope = sassafrasproxy_core::RolloutParticipant { node: node_name(at) };
         Node {
             discovery: Discovery::new(Some(scope)),
             pool: UpstreamPool::new(PoolSettings {
@@ -251,9 +257,9 @@
                 warmup_factor: 1.5,
                 warmup_slack: 5.0,
             }),
-            decider: RolloutDecider::default(),
-            pace: ReportPace::default(),
-            news: Vec::new(),
+            coordinator: RolloutCoordinator::default(),
+            throttle: ReportThrottle::default(),
+            pending_events: Vec::new(),
             is_alive: true,
         }
     }
@@ -268,20 +274,23 @@
             caller_limits: CallerLimits::default(),
         };
         let mut events = vec![DiscoveryEvent::ListStarted { revision }];
-        let mut facts = vec![(Fact::Configuration(configuration), 1)];
-        facts.extend(self.replicas.iter().map(|one| (Fact::Replica(one.entry.clone()), 2)));
+        let mut facts = vec![(RegistryEntry::Configuration(configuration), 1)];
+        facts
+            .extend(self.replicas.iter().map(|one| (RegistryEntry::Replica(one.entry.clone()), 2)));
         let order = self.order.iter().cloned();
-        facts.extend(order.map(|(order, revision)| (Fact::RolloutOrder(order), revision)));
+        facts.extend(order.map(|(order, revision)| (RegistryEntry::RolloutOrder(order), revision)));
         let record = self.record.iter().cloned();
-        facts.extend(record.map(|(record, revision)| (Fact::RolloutRecord(record), revision)));
-        let seen = |(fact, revision)| DiscoveryEvent::Seen { fact, revision };
+        facts.extend(
+            record.map(|(record, revision)| (RegistryEntry::RolloutRecord(record), revision)),
+        );
+        let seen = |(fact, revision)| DiscoveryEvent::EntrySeen { entry: fact, revision };
         events.extend(facts.into_iter().map(seen));
         events.push(DiscoveryEvent::ListEnded);
         self.discover(at, events);
     }
 
     fn discover(&mut self, at: usize, events: Vec<DiscoveryEvent>) {
-        let (now_us, senders) = (self.fleet.now_us, self.scene.senders);
+        let (now_us, senders) = (self.fleet.now_us, self.scenario.ingress_nodes);
         let node = &mut self.nodes[at];
         for event in events {
             node.discovery.step(now_us, event);
@@ -294,16 +303,16 @@
     fn run(&mut self) {
         let start_us = self.fleet.now_us;
         // The new version's replicas are listed some time before the order is seen.
-        for at in 0..self.scene.replicas {
+        for at in 0..self.scenario.replicas {
             self.add_replica("v2", at);
             let entry = self.replicas.last().unwrap().entry.clone();
             self.revision += 1;
-            self.publish(Fact::Replica(entry));
+            self.publish(RegistryEntry::Replica(entry));
         }
         self.ordered_us = start_us + SECOND_US;
-        let period_us = self.scene.period_ms * 1_000;
-        let end_us = self.ordered_us + period_us + AFTER_US;
-        let gap = Exp::new(self.scene.per_s).unwrap();
+        let period_us = self.scenario.period_ms * 1_000;
+        let end_us = self.ordered_us + period_us + RUN_AFTER_PERIOD_US;
+        let gap = Exp::new(self.scenario.per_s).unwrap();
         let mut arrival_us = start_us;
         let mut trial_us = start_us;
         let mut tick_us = start_us;
@@ -318,61 +327,61 @@
             }
             self.fleet.now_us = now_us;
             if self.order.is_none() && now_us >= self.ordered_us {
-                self.give_order();
+                self.write_order();
             }
             if !is_troubled && now_us >= trouble_us {
                 is_troubled = true;
-                self.trouble();
+                self.inject_fault();
             }
-            self.bring_news();
+            self.deliver_events();
             self.end_sends();
             while arrival_us <= now_us {
                 self.arrive();
                 arrival_us += (gap.sample(&mut self.rng) * 1e6) as u64;
             }
             if now_us >= trial_us {
-                trial_us = now_us + TRIAL_US;
-                self.tell_trials();
-                self.decide();
+                trial_us = now_us + REPORT_INTERVAL_US;
+                self.send_reports();
+                self.run_coordinators();
             }
-            self.take_datagrams();
+            self.deliver_datagrams();
         }
     }
 
-    fn give_order(&mut self) {
+    fn write_order(&mut self) {
         let order = RolloutOrder {
             service: "desk".into(),
             target_version: "v2".into(),
-            period_ms: self.scene.period_ms,
+            period_ms: self.scenario.period_ms,
         };
         self.revision += 1;
         self.order = Some((order.clone(), self.revision));
-        self.publish(Fact::RolloutOrder(order));
+        self.publish(RegistryEntry::RolloutOrder(order));
     }
 
     /// Lets all nodes learn a fact that was just written.
-    fn publish(&mut self, fact: Fact) {
+    fn publish(&mut self, fact: RegistryEntry) {
         let revision = self.revision;
         let now_us = self.fleet.now_us;
-        let is_down_until = self.store_back_us();
+        let is_down_until = self.store_down_until_us();
         for at in 0..self.nodes.len() {
-            let late_us = self.rng.random_range(10_000..NEWS_US);
-            let seen = DiscoveryEvent::Seen { fact: fact.clone(), revision };
-            self.nodes[at].news.push((is_down_until.max(now_us) + late_us, seen));
+            let late_us = self.rng.random_range(10_000..MAX_WATCH_DELAY_US);
+            let seen = DiscoveryEvent::EntrySeen { entry: fact.clone(), revision };
+            self.nodes[at].pending_events.push((is_down_until.max(now_us) + late_us, seen));
         }
     }
 
     /// Until when the store is down, if the scene has it down and it is now.
-    fn store_back_us(&self) -> u64 {
-        let from_us = self.ordered_us + self.scene.period_ms * 250;
+    fn store_down_until_us(&self) -> u64 {
+        let from_us = self.ordered_us + self.scenario.period_ms * 250;
         let until_us = from_us + 4_500_000;
-        let is_down = self.scene.trouble == Trouble::StoreDown
+        let is_down = self.scenario.fault == Fault::StoreDown
             && (from_us..until_us).contains(&self.fleet.now_us);
         if is_down { until_us } else { 0 }
     }
 
-    fn trouble(&mut self) {
-        if self.scene.trouble != Trouble::DeciderKilled {
+    fn inject_fault(&mut self) {
+        if self.scenario.fault != Fault::CoordinatorKilled {
             return;
         }
         let now_us = self.fleet.now_us;
@@ -380,19 +389,19 @@
             .find(|at| self.fleet.nodes[*at].rollout_nodes(now_us).rank == Some(0));
         let Some(at) = decider else { return };
         self.nodes[at].is_alive = false;
-        self.fleet.silent.insert(at);
+        self.fleet.offline.insert(at);
     }
 
-    fn bring_news(&mut self) {
+    fn deliver_events(&mut self) {
         let now_us = self.fleet.now_us;
         for at in 0..self.nodes.len() {
             if !self.nodes[at].is_alive {
                 continue;
             }
-            let news = std::mem::take(&mut self.nodes[at].news);
+            let news = std::mem::take(&mut self.nodes[at].pending_events);
             let (due, later): (Vec<_>, Vec<_>) =
                 news.into_iter().partition(|(at_us, _)| *at_us <= now_us);
-            self.nodes[at].news = later;
+            self.nodes[at].pending_events = later;
             if !due.is_empty() {
                 self.discover(at, due.into_iter().map(|(_, event)| event).collect());
             }
@@ -401,7 +410,7 @@
 
     fn arrive(&mut self) {
         let alive: Vec<usize> =
-            (0..self.scene.senders).filter(|at| self.nodes[*at].is_alive).collect();
+            (0..self.scenario.ingress_nodes).filter(|at| self.nodes[*at].is_alive).collect();
         let node = alive[self.rng.random_range(0..alive.len())];
         let route = self.rng.random_range(0..ROUTES);
         self.send(node, route, &[], true);
@@ -411,39 +420,40 @@
         let now_us = self.fleet.now_us;
         let pool = &mut self.nodes[node].pool;
         let Some(id) = pool.pick("desk", now_us, WORK_US as u64, tried) else { return };
-        let send = pool.start(&id, now_us, WORK_US as u64, 2 * WORK_US as u64).unwrap();
+        let send = pool.start_send(&id, now_us, WORK_US as u64, 2 * WORK_US as u64).unwrap();
         pool.count_in_trial(&id, send, is_first, route);
         let at = self.replicas.iter().position(|one| one.entry.id == id).unwrap();
         self.count_send(at);
-        let (outcome, took_us) = self.work(at, route);
+        let (outcome, took_us) = self.simulate_run(at, route);
         self.replicas[at].running += 1;
-        self.next += 1;
-        let life = self.lives[node];
-        let sent = Send { node, life, replica: at, send, route, outcome, is_first };
-        self.sends.insert((now_us + took_us, self.next), sent);
+        self.next_send_id += 1;
+        let life = self.incarnations[node];
+        let sent =
+            SimulatedSend { node, incarnation: life, replica: at, send, route, outcome, is_first };
+        self.sends.insert((now_us + took_us, self.next_send_id), sent);
     }
 
     fn count_send(&mut self, at: usize) {
         let now_us = self.fleet.now_us;
         let is_new = self.is_new(at);
         if self.order.is_none() {
-            self.played.unordered += u64::from(is_new);
+            self.result.sends_before_order += u64::from(is_new);
             return;
         }
-        if now_us < self.ordered_us + self.scene.period_ms * 1_000 {
-            self.played.arrivals += 1;
-            self.played.exposed += u64::from(is_new);
+        if now_us < self.ordered_us + self.scenario.period_ms * 1_000 {
+            self.result.arrivals += 1;
+            self.result.exposed_requests += u64::from(is_new);
         }
         if self.bad_50th_us.is_some_and(|at_us| now_us > at_us + 5 * SECOND_US) {
-            self.played.late_sends += u64::from(is_new);
+            self.result.late_sends += u64::from(is_new);
         }
-        let is_over = self.ended_us.is_some_and(|ended_us| now_us > ended_us + NEWS_US);
-        let is_wrong = match self.played.end {
+        let is_over = self.ended_us.is_some_and(|ended_us| now_us > ended_us + MAX_WATCH_DELAY_US);
+        let is_wrong = match self.result.end {
             Some(RolloutPhase::Completed) => !is_new,
             Some(RolloutPhase::RolledBack) => is_new,
             _ => false,
         };
-        self.played.wrong_sends += u64::from(is_over && is_wrong);
+        self.result.wrong_sends += u64::from(is_over && is_wrong);
     }
 
     fn is_new(&self, at: usize) -> bool {
@@ -451,28 +461,32 @@
     }
 
     /// How a replica answers, and how long it takes.
-    fn work(&mut self, at: usize, route: u8) -> (SendOutcome, u64) {
+    fn simulate_run(&mut self, at: usize, route: u8) -> (SendOutcome, u64) {
         let since_us = self.fleet.now_us.saturating_sub(self.ordered_us);
         let is_new = self.is_new(at);
-        let mut fails = self.replicas[at].fails;
+        let mut fails = self.replicas[at].failure_rate;
         let mut times = self.rng.random_range(0.6..1.5);
         if self.rng.random_bool(0.01) {
             times *= 5.0;
         }
-        match self.scene.manner {
-            Manner::Fails { share, from_us } if is_new && since_us >= from_us => fails += share,
-            Manner::Slow { times: slower, from_us } if is_new && since_us >= from_us => {
+        match self.scenario.behavior {
+            VersionBehavior::Fails { share, from_us } if is_new && since_us >= from_us => {
+                fails += share;
+            }
+            VersionBehavior::Slow { times: slower, from_us } if is_new && since_us >= from_us => {
                 times *= slower;
             }
-            Manner::FailsUnderLoad { share } if is_new && self.replicas[at].running > 0 => {
+            VersionBehavior::FailsUnderLoad { share }
+                if is_new && self.replicas[at].running > 0 =>
+            {
                 fails += share;
             }
-            Manner::FailsOneRoute { share } if is_new && route == 0 => fails += share,
+            VersionBehavior::FailsOneRoute { share } if is_new && route == 0 => fails += share,
             _ => {}
         }
         let mut took_us = (WORK_US * times) as u64;
-        if self.scene.trouble == Trouble::Pauses {
-            let phase = (self.fleet.now_us + self.replicas[at].pause_us) % 4_500_000;
+        if self.scenario.fault == Fault::ReplicaPauses {
+            let phase = (self.fleet.now_us + self.replicas[at].pause_phase_us) % 4_500_000;
             took_us += 200_000_u64.saturating_sub(phase);
         }
         let is_failed = self.rng.random_bool(fails.min(1.0));
@@ -485,14 +499,14 @@
             let (_, sent) = self.sends.pop_first().unwrap();
             self.replicas[sent.replica].running -= 1;
             let id = self.replicas[sent.replica].entry.id.clone();
-            if self.lives[sent.node] == sent.life {
+            if self.incarnations[sent.node] == sent.incarnation {
                 let pool = &mut self.nodes[sent.node].pool;
-                pool.finish(&id, sent.send, now_us, sent.outcome, None);
+                pool.finish_send(&id, sent.send, now_us, sent.outcome, None);
             }
             if sent.outcome == SendOutcome::Faulty {
-                if self.is_new(sent.replica) && self.scene.manner != Manner::Good {
-                    self.played.bad += 1;
-                    if self.played.bad == 50 {
+                if self.is_new(sent.replica) && self.scenario.behavior != VersionBehavior::Good {
+                    self.result.bad_answers += 1;
+                    if self.result.bad_answers == 50 {
                         self.bad_50th_us = Some(now_us);
                     }
                 }
@@ -503,27 +517,27 @@
         }
     }
 
-    fn tell_trials(&mut self) {
+    fn send_reports(&mut self) {
         let now_us = self.fleet.now_us;
         for at in 0..self.nodes.len() {
             if !self.nodes[at].is_alive {
                 continue;
             }
             let reports = self.nodes[at].pool.trial_reports();
-            for report in self.nodes[at].pace.due(now_us, reports) {
+            for report in self.nodes[at].throttle.take_due(now_us, reports) {
                 match self.fleet.nodes[at].report_trial(now_us, report.clone()) {
                     Some(send) => self.fleet.deliver(at, vec![send]),
-                    None => self.nodes[at].decider.hear(now_us, &node_name(at), &report),
+                    None => self.nodes[at].coordinator.add_report(now_us, &node_name(at), &report),
                 }
             }
         }
     }
 
-    fn take_datagrams(&mut self) {
-        for (to, datagram) in std::mem::take(&mut self.fleet.about_rollouts) {
+    fn deliver_datagrams(&mut self) {
+        for (to, datagram) in std::mem::take(&mut self.fleet.rollout_datagrams) {
             let now_us = self.fleet.now_us;
-            for report in &datagram.trials {
-                self.nodes[to].decider.hear(now_us, &datagram.from.node, report);
+            for report in &datagram.trial_reports {
+                self.nodes[to].coordinator.add_report(now_us, &datagram.sender.node, report);
             }
             let stops = datagram.stopped_rollouts.iter();
             let stops =
@@ -532,7 +546,7 @@
         }
     }
 
-    fn decide(&mut self) {
+    fn run_coordinators(&mut self) {
         let now_us = self.fleet.now_us;
         for at in 0..self.nodes.len() {
             let states = self.nodes[at].discovery.rollouts();
@@ -540,21 +554,22 @@
                 continue;
             }
             let mut nodes = self.fleet.nodes[at].rollout_nodes(now_us);
-            let is_turned_away = self.scene.trouble == Trouble::TurnedAway && at % 3 == 0;
-            let is_away = is_turned_away || self.store_back_us() > 0;
-            self.fleet.nodes[at].set_store_away(is_away);
-            nodes.senders.truncate(self.scene.senders);
-            let policy = self.scene.policy;
-            let effects = self.nodes[at].decider.step(now_us, &states, &nodes, &policy);
+            let is_turned_away = self.scenario.fault == Fault::StoreRejectsNodes && at % 3 == 0;
+            let is_away = is_turned_away || self.store_down_until_us() > 0;
+            self.fleet.nodes[at].set_store_unavailable(is_away);
+            nodes.ingress_nodes.truncate(self.scenario.ingress_nodes);
+            let policy = self.scenario.policy;
+            let effects = self.nodes[at].coordinator.step(now_us, &states, &nodes, &policy);
             for effect in effects {
                 match effect {
                     RolloutEffect::Stop { order_revision } => {
                         self.discover(at, vec![DiscoveryEvent::RolloutStopped { order_revision }]);
-                        let sends = self.fleet.nodes[at].stop_rollout(now_us, order_revision);
+                        let sends =
+                            self.fleet.nodes[at].announce_rollout_stop(now_us, order_revision);
                         self.fleet.deliver(at, sends);
                     }
                     RolloutEffect::Write { record, expected_revision } => {
-                        if !is_turned_away && self.store_back_us() == 0 {
+                        if !is_turned_away && self.store_down_until_us() == 0 {
                             self.write(record, expected_revision);
                         }
                     }
@@ -565,20 +580,20 @@
 
     fn write(&mut self, record: RolloutRecord, expected_revision: u64) {
         let known = self.record.as_ref().map_or(0, |(_, revision)| *revision);
-        let is_lost = self.scene.trouble == Trouble::LosesAnswers && self.rng.random_bool(0.3);
+        let is_lost = self.scenario.fault == Fault::StoreAnswersLost && self.rng.random_bool(0.3);
         if known != expected_revision || is_lost {
             return;
         }
         self.revision += 1;
         let now_us = self.fleet.now_us;
         if record.phase.is_final() {
-            self.played.end = Some(record.phase);
+            self.result.end = Some(record.phase);
             let since_us = now_us - self.ordered_us;
-            self.played.end_part = since_us as f64 / (self.scene.period_ms * 1_000) as f64;
+            self.result.end_fraction = since_us as f64 / (self.scenario.period_ms * 1_000) as f64;
             self.ended_us = Some(now_us);
         }
         self.record = Some((record.clone(), self.revision));
-        self.publish(Fact::RolloutRecord(record));
+        self.publish(RegistryEntry::RolloutRecord(record));
     }
 }
 
@@ -592,55 +607,55 @@
 }
 
 /// A scene with everything drawn from a seed.
-pub fn drawn(seed: u64, is_bad: bool, policy: RolloutPolicy) -> Scene {
+pub fn random_scenario(seed: u64, is_bad: bool, policy: RolloutPolicy) -> Scenario {
     let mut rng = StdRng::seed_from_u64(seed);
     let period_ms = rng.random_range(8_000..20_000);
     let share = rng.random_range(0.25..0.6);
     let late_us = rng.random_range(2_000_000..period_ms * 450);
     let times = rng.random_range(3.0..6.0);
     let manner = match rng.random_range(0..6) {
-        _ if !is_bad => Manner::Good,
-        0 => Manner::Fails { share, from_us: 0 },
-        1 => Manner::Fails { share, from_us: late_us },
-        2 => Manner::Slow { times, from_us: 0 },
-        3 => Manner::Slow { times, from_us: late_us },
-        4 => Manner::FailsUnderLoad { share },
-        _ => Manner::FailsOneRoute { share: share.max(0.4) },
+        _ if !is_bad => VersionBehavior::Good,
+        0 => VersionBehavior::Fails { share, from_us: 0 },
+        1 => VersionBehavior::Fails { share, from_us: late_us },
+        2 => VersionBehavior::Slow { times, from_us: 0 },
+        3 => VersionBehavior::Slow { times, from_us: late_us },
+        4 => VersionBehavior::FailsUnderLoad { share },
+        _ => VersionBehavior::FailsOneRoute { share: share.max(0.4) },
     };
     let troubles = [
-        Trouble::None,
-        Trouble::GreyNew,
-        Trouble::GreyOld,
-        Trouble::LostAnswers,
-        Trouble::StoreDown,
-        Trouble::LosesAnswers,
-        Trouble::DeciderKilled,
-        Trouble::TurnedAway,
-        Trouble::Pauses,
+        Fault::None,
+        Fault::OneNewReplicaFails,
+        Fault::OneOldReplicaFails,
+        Fault::ReplicaAnswersLost,
+        Fault::StoreDown,
+        Fault::StoreAnswersLost,
+        Fault::CoordinatorKilled,
+        Fault::StoreRejectsNodes,
+        Fault::ReplicaPauses,
     ];
     let senders = rng.random_range(7..12);
-    Scene {
+    Scenario {
         nodes: senders + rng.random_range(0..40),
-        senders,
+        ingress_nodes: senders,
         replicas: rng.random_range(2..7),
         per_s: [8.0, 20.0, 40.0, 80.0][rng.random_range(0..4)],
         period_ms,
-        manner,
-        trouble: troubles[rng.random_range(0..troubles.len())],
+        behavior: manner,
+        fault: troubles[rng.random_range(0..troubles.len())],
         policy,
         seed,
     }
 }
 
 /// Names for a table.
-pub fn manner_name(manner: Manner) -> &'static str {
+pub fn behavior_name(manner: VersionBehavior) -> &'static str {
     match manner {
-        Manner::Good => "good",
-        Manner::Fails { from_us: 0, .. } => "fails at once",
-        Manner::Fails { .. } => "fails later",
-        Manner::Slow { from_us: 0, .. } => "slow at once",
-        Manner::Slow { .. } => "slow later",
-        Manner::FailsUnderLoad { .. } => "fails under load",
-        Manner::FailsOneRoute { .. } => "fails on one route",
+        VersionBehavior::Good => "good",
+        VersionBehavior::Fails { from_us: 0, .. } => "fails at once",
+        VersionBehavior::Fails { .. } => "fails later",
+        VersionBehavior::Slow { from_us: 0, .. } => "slow at once",
+        VersionBehavior::Slow { .. } => "slow later",
+        VersionBehavior::FailsUnderLoad { .. } => "fails under load",
+        VersionBehavior::FailsOneRoute { .. } => "fails on one route",
     }
 }
--- a/crates/sassafrasproxy-core/tests/routing.rs
+++ b/crates/sassafrasproxy-core/tests/routing.rs
@@ -4,7 +4,7 @@
 
 use indexmap::IndexMap;
 use proptest::prelude::*;
-use sassafrasproxy_core::{RouteTable, SplitChooser};
+use sassafrasproxy_core::{RouteTable, WeightedRoundRobin};
 use sassafrasproxy_wire::{Route, RouteTarget, WeightedService};
 
 fn route(name: &str, host: &str, prefix: &str) -> Route {
@@ -40,7 +40,7 @@
         ("c.example", "/x/", None),
     ];
     for (host, path, expected) in cases {
-        let name = table.pick(host, path).map(|route| route.name.as_str());
+        let name = table.find_route(host, path).map(|route| route.name.as_str());
         assert_eq!(name, expected, "{host}{path}");
     }
 }
@@ -59,7 +59,7 @@
             })
             .collect();
         let total: u32 = weights.iter().sum();
-        let mut chooser = SplitChooser::default();
+        let mut chooser = WeightedRoundRobin::default();
         let mut counts = IndexMap::new();
         for count in 1..=200_u32 {
             let chosen = chooser.next(&parts, spread);
--- a/crates/sassafrasproxy-core/tests/bench/mod.rs
+++ b/crates/sassafrasproxy-core/tests/scheduler_harness/mod.rs
@@ -5,8 +5,8 @@
 use ecow::{EcoString, eco_format};
 use indexmap::{IndexMap, IndexSet};
 use sassafrasproxy_core::{
-    AttemptId, AttemptReport, AttemptResult, Lane, LaneConfiguration, LaneEffect, LaneEvent,
-    LanePolicy, ReplicaSpec, StatusReport, Sub, SubKey,
+    AttemptId, AttemptReport, AttemptResult, ReplicaSpec, Scheduler, SchedulerConfiguration,
+    SchedulerEffect, SchedulerEvent, SchedulerPolicy, StatusReport, SubRequestId, SubRequestSpec,
 };
 use sassafrasproxy_wire::{EventKind, HeldSnapshot, SubOutcome, UpstreamState, UpstreamStatus};
 
@@ -14,26 +14,26 @@
 pub const SNAPSHOT: u64 = 7;
 
 /// A lane of three replicas `a`, `b`, `c` in domains of their own, all holding shard `s0`.
-pub struct Bench {
-    pub lane: Lane,
+pub struct SchedulerHarness {
+    pub scheduler: Scheduler,
     pub now_us: u64,
-    pub configuration: LaneConfiguration,
+    pub configuration: SchedulerConfiguration,
     /// Sends that have not ended, with their replica and sub-request.
-    pub open: IndexMap<AttemptId, (EcoString, SubKey)>,
-    pub replies: IndexMap<SubKey, SubOutcome>,
+    pub open_attempts: IndexMap<AttemptId, (EcoString, SubRequestId)>,
+    pub replies: IndexMap<SubRequestId, SubOutcome>,
     /// Every send so far, as replica and sub-request.
-    pub sends: Vec<(EcoString, SubKey)>,
+    pub sends: Vec<(EcoString, SubRequestId)>,
     pub cancels: Vec<AttemptId>,
     pub probes: Vec<(EcoString, u64)>,
-    pub condemned: Vec<EcoString>,
+    pub retired_connections: Vec<EcoString>,
     pub quarantined: Vec<u64>,
     pub hand_overs: Vec<sassafrasproxy_wire::HandOver>,
-    pub notes: Vec<EventKind>,
-    pub boots: IndexMap<EcoString, u32>,
-    next_key: u64,
+    pub events: Vec<EventKind>,
+    pub boot_numbers: IndexMap<EcoString, u32>,
+    next_id: u64,
 }
 
-impl Bench {
+impl SchedulerHarness {
     /// A home whose replicas have been heard and warmed up to their full limit.
     pub fn warm() -> Self {
         let mut bench = Self::cold();
@@ -43,117 +43,123 @@
 
     /// A home whose replicas have been heard but have run nothing.
     pub fn cold() -> Self {
-        let mut bench = Self::unheard();
-        bench.step(LaneEvent::BecomeHome { view_skew_us: 0 });
+        let mut bench = Self::without_status();
+        bench.step(SchedulerEvent::BecomeHome { view_skew_us: 0 });
         for replica in ["a", "b", "c"] {
-            bench.status(replica, UpstreamState::Serving);
+            bench.report_status(replica, UpstreamState::Serving);
         }
         bench
     }
 
     /// A lane that is not home yet and has heard nothing.
-    pub fn unheard() -> Self {
+    pub fn without_status() -> Self {
         let spec = |name: &str| ReplicaSpec {
             address: name.into(),
             failure_domain: eco_format!("domain-{name}"),
             shards: ["s0".into()].into_iter().collect(),
         };
-        let configuration = LaneConfiguration {
+        let configuration = SchedulerConfiguration {
             group: "art/s0".into(),
             service: "art".into(),
             replicas: ["a", "b", "c"].map(spec).to_vec(),
-            policy: LanePolicy::new(2, 8),
+            policy: SchedulerPolicy::new(2, 8),
             domains_out: IndexSet::new(),
-            leaving: IndexSet::new(),
+            leaving_upstreams: IndexSet::new(),
         };
         Self {
-            lane: Lane::new(configuration.clone()),
+            scheduler: Scheduler::new(configuration.clone()),
             now_us: 1_000 * MS,
             configuration,
-            open: IndexMap::new(),
+            open_attempts: IndexMap::new(),
             replies: IndexMap::new(),
             sends: Vec::new(),
             cancels: Vec::new(),
             probes: Vec::new(),
-            condemned: Vec::new(),
+            retired_connections: Vec::new(),
             quarantined: Vec::new(),
             hand_overs: Vec::new(),
-            notes: Vec::new(),
-            boots: ["a", "b", "c"].map(|name| (name.into(), 1)).into_iter().collect(),
-            next_key: 0,
+            events: Vec::new(),
+            boot_numbers: ["a", "b", "c"].map(|name| (name.into(), 1)).into_iter().collect(),
+            next_id: 0,
         }
     }
 
     /// Runs requests of 5 ms each until every replica serves at its full limit.
     pub fn warm_up(&mut self) {
         for _ in 0..2_000 {
-            if self.lane.status().iter().all(|replica| replica.phase == "serving") {
+            if self.scheduler.replica_statuses().iter().all(|replica| replica.phase == "serving") {
                 break;
             }
             // One for each replica, so that none waits and every latency is the same.
             for _ in 0..3 {
                 self.submit();
             }
-            self.pass(5 * MS);
+            self.advance(5 * MS);
             self.answer_all();
         }
-        assert!(self.lane.status().iter().all(|replica| replica.limit == 2));
+        assert!(self.scheduler.replica_statuses().iter().all(|replica| replica.limit == 2));
         self.sends.clear();
-        self.notes.clear();
+        self.events.clear();
         self.replies.clear();
-        self.condemned.clear();
+        self.retired_connections.clear();
     }
 
     /// Steps the lane and keeps its effects.
-    pub fn step(&mut self, event: LaneEvent) {
-        for effect in self.lane.step(self.now_us, event) {
+    pub fn step(&mut self, event: SchedulerEvent) {
+        for effect in self.scheduler.step(self.now_us, event) {
             match effect {
-                LaneEffect::Send { attempt, sub, replica } => {
+                SchedulerEffect::Send { attempt, sub_request: sub, replica } => {
                     self.sends.push((replica.clone(), sub));
-                    self.open.insert(attempt, (replica, sub));
+                    self.open_attempts.insert(attempt, (replica, sub));
                 }
-                LaneEffect::Cancel { attempt } => self.cancels.push(attempt),
-                LaneEffect::Reply { sub, outcome, .. } => {
+                SchedulerEffect::Cancel { attempt } => self.cancels.push(attempt),
+                SchedulerEffect::Reply { sub_request: sub, outcome, .. } => {
                     let old = self.replies.insert(sub, outcome);
                     assert_eq!(old, None, "a sub-request is answered once");
                 }
-                LaneEffect::Condemn { replica } => self.condemned.push(replica),
-                LaneEffect::Probe { replica, number } => self.probes.push((replica, number)),
-                LaneEffect::Quarantined { fingerprint, .. } => self.quarantined.push(fingerprint),
-                LaneEffect::HandOver(given) => self.hand_overs.push(given),
-                LaneEffect::Publish => {}
-                LaneEffect::Note { kind, .. } => self.notes.push(kind),
+                SchedulerEffect::RetireConnections { replica } => {
+                    self.retired_connections.push(replica);
+                }
+                SchedulerEffect::Probe { replica, probe_id: number } => {
+                    self.probes.push((replica, number));
+                }
+                SchedulerEffect::AnnounceQuarantine { fingerprint, .. } => {
+                    self.quarantined.push(fingerprint);
+                }
+                SchedulerEffect::SendHandOver(given) => self.hand_overs.push(given),
+                SchedulerEffect::PublishHoldings => {}
+                SchedulerEffect::RecordEvent { kind, .. } => self.events.push(kind),
             }
         }
     }
 
     /// A search of its own that ends in 100 ms at the latest.
-    pub fn sub(&mut self) -> Sub {
-        self.next_key += 1;
-        Sub {
-            key: SubKey(self.next_key),
+    pub fn new_spec(&mut self) -> SubRequestSpec {
+        self.next_id += 1;
+        SubRequestSpec {
+            id: SubRequestId(self.next_id),
             shard: "s0".into(),
             snapshot: SNAPSHOT,
             is_idempotent: true,
             may_hedge: true,
-            fingerprint: self.next_key,
+            fingerprint: self.next_id,
             deadline_us: self.now_us + 100 * MS,
         }
     }
 
-    pub fn submit(&mut self) -> SubKey {
-        let sub = self.sub();
-        self.submit_sub(sub)
+    pub fn submit(&mut self) -> SubRequestId {
+        let sub = self.new_spec();
+        self.submit_spec(sub)
     }
 
-    pub fn submit_sub(&mut self, sub: Sub) -> SubKey {
-        let key = sub.key;
-        self.step(LaneEvent::Submit(sub));
+    pub fn submit_spec(&mut self, sub: SubRequestSpec) -> SubRequestId {
+        let key = sub.id;
+        self.step(SchedulerEvent::Submit(sub));
         key
     }
 
     /// Submits until a sub-request goes to a replica, and returns that one.
-    pub fn submit_at(&mut self, replica: &str) -> SubKey {
+    pub fn submit_to(&mut self, replica: &str) -> SubRequestId {
         loop {
             let key = self.submit();
             if self.replica_of(key) == replica {
@@ -163,60 +169,62 @@
     }
 
     /// Lets time pass, with the lane's timers on the way.
-    pub fn pass(&mut self, us: u64) {
+    pub fn advance(&mut self, us: u64) {
         let end_us = self.now_us + us;
-        while let Some(at_us) = self.lane.wake_us(self.now_us).filter(|at_us| *at_us <= end_us) {
+        while let Some(at_us) =
+            self.scheduler.next_timer_us(self.now_us).filter(|at_us| *at_us <= end_us)
+        {
             self.now_us = at_us.max(self.now_us + 1);
-            self.step(LaneEvent::Timer);
+            self.step(SchedulerEvent::Timer);
         }
         self.now_us = end_us;
-        self.step(LaneEvent::Timer);
+        self.step(SchedulerEvent::Timer);
     }
 
     /// The open send of a sub-request that started first.
-    pub fn open_send(&self, sub: SubKey) -> AttemptId {
-        *self.open.iter().find(|(_, (_, key))| *key == sub).expect("the send is open").0
+    pub fn first_open_attempt(&self, sub: SubRequestId) -> AttemptId {
+        *self.open_attempts.iter().find(|(_, (_, key))| *key == sub).expect("the send is open").0
     }
 
     /// The replica of a sub-request's open send.
-    pub fn replica_of(&self, sub: SubKey) -> EcoString {
-        self.open[&self.open_send(sub)].0.clone()
+    pub fn replica_of(&self, sub: SubRequestId) -> EcoString {
+        self.open_attempts[&self.first_open_attempt(sub)].0.clone()
     }
 
     /// Ends a send, with the boot id that its replica has now.
-    pub fn end(&mut self, attempt: AttemptId, result: AttemptResult) {
-        let Some((replica, _)) = self.open.swap_remove(&attempt) else { return };
+    pub fn end_attempt(&mut self, attempt: AttemptId, result: AttemptResult) {
+        let Some((replica, _)) = self.open_attempts.swap_remove(&attempt) else { return };
         let is_answer = !matches!(
             result,
             AttemptResult::ConnectFailed | AttemptResult::ConnectionLost | AttemptResult::TimedOut
         );
-        let boot_id = is_answer.then(|| eco_format!("boot-{}", self.boots[&replica]));
+        let boot_id = is_answer.then(|| eco_format!("boot-{}", self.boot_numbers[&replica]));
         let report = AttemptReport { result, boot_id, is_draining: false };
-        self.step(LaneEvent::Finished { attempt, report });
+        self.step(SchedulerEvent::Finished { attempt, report });
     }
 
-    pub fn end_sub(&mut self, sub: SubKey, result: AttemptResult) {
-        self.end(self.open_send(sub), result);
+    pub fn end_first_attempt(&mut self, sub: SubRequestId, result: AttemptResult) {
+        self.end_attempt(self.first_open_attempt(sub), result);
     }
 
     pub fn answer_all(&mut self) {
-        while let Some(attempt) = self.open.keys().next().copied() {
-            self.end(attempt, AttemptResult::Answered);
+        while let Some(attempt) = self.open_attempts.keys().next().copied() {
+            self.end_attempt(attempt, AttemptResult::Answered);
         }
     }
 
     /// Confirms every cancellation.
     pub fn confirm_cancels(&mut self) {
         for attempt in std::mem::take(&mut self.cancels) {
-            if self.open.swap_remove(&attempt).is_some() {
-                self.step(LaneEvent::Cancelled { attempt });
+            if self.open_attempts.swap_remove(&attempt).is_some() {
+                self.step(SchedulerEvent::Cancelled { attempt });
             }
         }
     }
 
-    pub fn report(&self, replica: &str, state: UpstreamState) -> StatusReport {
+    pub fn status_report(&self, replica: &str, state: UpstreamState) -> StatusReport {
         StatusReport::Read(UpstreamStatus {
-            boot_id: eco_format!("boot-{}", self.boots[replica]),
+            boot_id: eco_format!("boot-{}", self.boot_numbers[replica]),
             state,
             load: 0,
             slots: 2,
@@ -228,9 +236,9 @@
         })
     }
 
-    pub fn status(&mut self, replica: &str, state: UpstreamState) {
-        let report = self.report(replica, state);
-        self.step(LaneEvent::Status { replica: replica.into(), probe: None, report });
+    pub fn report_status(&mut self, replica: &str, state: UpstreamState) {
+        let report = self.status_report(replica, state);
+        self.step(SchedulerEvent::Status { replica: replica.into(), probe_id: None, report });
     }
 
     /// Answers every probe that is open: dead replicas are in `down`.
@@ -239,23 +247,23 @@
             let report = if down.contains(&replica.as_str()) {
                 StatusReport::Unreachable
             } else {
-                self.report(&replica, UpstreamState::Serving)
+                self.status_report(&replica, UpstreamState::Serving)
             };
-            self.step(LaneEvent::Status { replica, probe: Some(number), report });
+            self.step(SchedulerEvent::Status { replica, probe_id: Some(number), report });
         }
     }
 
     /// Restarts a replica: what was open there is lost, and its boot id is a new one.
     pub fn restart(&mut self, replica: &str) {
-        *self.boots.get_mut(replica).unwrap() += 1;
+        *self.boot_numbers.get_mut(replica).unwrap() += 1;
         let lost: Vec<AttemptId> = self
-            .open
+            .open_attempts
             .iter()
             .filter(|(_, (at, _))| at == replica)
             .map(|(attempt, _)| *attempt)
             .collect();
         for attempt in lost {
-            self.end(attempt, AttemptResult::ConnectionLost);
+            self.end_attempt(attempt, AttemptResult::ConnectionLost);
         }
     }
 
@@ -272,6 +280,10 @@
     }
 
     fn replica(&self, name: &str) -> sassafrasproxy_wire::ReplicaStatus {
-        self.lane.status().into_iter().find(|replica| replica.address == name).unwrap()
+        self.scheduler
+            .replica_statuses()
+            .into_iter()
+            .find(|replica| replica.address == name)
+            .unwrap()
     }
 }
--- a/crates/sassafrasproxy-core/tests/shards/mod.rs
+++ b/crates/sassafrasproxy-core/tests/shards/mod.rs
@@ -2,8 +2,8 @@
 
 #![allow(dead_code, clippy::unwrap_used, reason = "each test file uses its part")]
 
-mod floor;
-mod load;
+mod upper_bound;
+mod workload;
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -15,20 +15,20 @@
 use rand_distr::{Distribution, Exp};
 use sassafrasproxy_core::{
     Catalogue, CatalogueReplica, Fanout, Fetch, FetchPlan, FetchStep, GatherPlan, GatherStep,
-    PoolSettings, RetryBudget, RetryBudgetPolicy, RouteTimes, SendId, SendOutcome, TryResult,
-    UpstreamPool, next_gather_step, plan_asks,
+    PoolSettings, RetryBudget, RetryBudgetPolicy, RouteLatencies, SendId, SendOutcome, SendResult,
+    UpstreamPool, next_gather_step, select_shards,
 };
 use sassafrasproxy_wire::{ReplicaEntry, RoutedService};
 
-pub use self::floor::best_worths;
-pub use self::load::{Fault, Kind, Load, Outcome, usual_load};
+pub use self::upper_bound::best_mean_scores;
+pub use self::workload::{Fault, Outcome, QueryKind, Workload, default_workload};
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 enum Event {
     Arrive(usize),
-    Reach(usize),
-    Leave(usize),
-    Answered(usize),
+    ReachReplica(usize),
+    FinishRun(usize),
+    ReceiveAnswer(usize),
     Wake(usize),
 }
 
@@ -40,13 +40,13 @@
     pause_phase_us: u64,
 }
 
-struct Send {
+struct SimulatedSend {
     query: usize,
     shard: usize,
     replica: usize,
     send: SendId,
     sent_us: u64,
-    end: Option<(SendOutcome, TryResult)>,
+    end: Option<(SendOutcome, SendResult)>,
     reported: Option<u32>,
 }
 
@@ -63,42 +63,42 @@
 struct Node {
     pool: UpstreamPool,
     budget: RetryBudget,
-    times: Vec<RouteTimes>,
+    times: Vec<RouteLatencies>,
     domain: usize,
 }
 
 /// The whole play.
-pub struct Play {
-    load: Load,
+pub struct Simulation {
+    workload: Workload,
     rng: StdRng,
     now_us: u64,
-    order: u64,
-    agenda: BTreeMap<(u64, u64), Event>,
+    next_event_id: u64,
+    event_queue: BTreeMap<(u64, u64), Event>,
     replicas: Vec<Replica>,
-    sends: Vec<Send>,
+    sends: Vec<SimulatedSend>,
     queries: Vec<Query>,
     nodes: Vec<Node>,
     pub outcomes: Vec<Outcome>,
 }
 
 /// One way within a failure domain, in microseconds.
-const NEAR_US: u64 = 100;
+const SAME_DOMAIN_US: u64 = 100;
 
 /// By which part of a caller's round trip its answers come later on average: one in so many.
-const WAY_JITTER_PARTS: f64 = 8.0;
+const ROUND_TRIP_JITTER_DIVISOR: f64 = 8.0;
 
 /// Time before the measured part: latencies are learned in it.
-const LEARN_US: u64 = 2_000_000;
+const WARM_UP_US: u64 = 2_000_000;
 
 /// Plays a load; returns what callers of each kind got after the first two seconds.
-pub fn play(load: Load) -> Vec<Outcome> {
-    let mut play = Play::new(load);
+pub fn simulate(load: Workload) -> Vec<Outcome> {
+    let mut play = Simulation::new(load);
     play.run();
     play.outcomes
 }
 
-impl Play {
-    fn new(load: Load) -> Self {
+impl Simulation {
+    fn new(load: Workload) -> Self {
         let mut rng = StdRng::seed_from_u64(load.seed);
         let mut catalogue = Catalogue { version: 1, ..Catalogue::default() };
         let mut services = IndexMap::new();
@@ -114,7 +114,7 @@
                     warmup_per_s: None,
                 },
             );
-            for copy in 0..load.copies {
+            for copy in 0..load.replicas_per_shard {
                 let id: EcoString = eco_format!("r{shard}-{copy}");
                 let entry = ReplicaEntry {
                     id: id.clone(),
@@ -128,21 +128,21 @@
                     is_draining: false,
                     cold_for_ms: 0,
                 };
-                let replica = CatalogueReplica::open(entry, 0);
+                let replica = CatalogueReplica::eligible(entry, 0);
                 catalogue.replicas.insert(id.clone(), replica);
                 replicas.push(Replica {
                     id,
                     running: 0,
                     waiting: Vec::new(),
                     fault: load.faults.get(&(shard, copy)).copied(),
-                    pause_phase_us: rng.random_range(0..load.pause_every_us.max(1)),
+                    pause_phase_us: rng.random_range(0..load.pause_interval_us.max(1)),
                 });
             }
         }
         catalogue.services = Arc::new(services);
         let policy = RetryBudgetPolicy { ratio: 0.2, fixed: 56.0, window_us: 10_000_000 };
         let nodes = (0..load.nodes).map(|node| {
-            let domain = node % load.copies;
+            let domain = node % load.replicas_per_shard;
             let settings = PoolSettings {
                 failure_domain: eco_format!("domain-{domain}"),
                 warmup_factor: 1.5,
@@ -150,32 +150,32 @@
             };
             let mut pool = UpstreamPool::new(settings);
             pool.update(0, &catalogue, load.nodes);
-            let times = load.kinds.iter().map(|_| RouteTimes::default()).collect();
+            let times = load.query_kinds.iter().map(|_| RouteLatencies::default()).collect();
             Node { pool, budget: RetryBudget::new(policy, 0), times, domain }
         });
         let nodes = nodes.collect();
-        let outcomes = load.kinds.iter().map(|_| Outcome::default()).collect();
+        let outcomes = load.query_kinds.iter().map(|_| Outcome::default()).collect();
         let mut play = Self {
             rng,
             now_us: 0,
-            order: 0,
-            agenda: BTreeMap::new(),
+            next_event_id: 0,
+            event_queue: BTreeMap::new(),
             replicas,
             sends: Vec::new(),
             queries: Vec::new(),
             nodes,
             outcomes,
-            load,
+            workload: load,
         };
-        for kind in 0..play.load.kinds.len() {
+        for kind in 0..play.workload.query_kinds.len() {
             play.schedule_arrival(kind);
         }
         play
     }
 
     fn run(&mut self) {
-        let end_us = self.load.seconds * 1_000_000 + LEARN_US;
-        while let Some(((at_us, _), event)) = self.agenda.pop_first() {
+        let end_us = self.workload.seconds * 1_000_000 + WARM_UP_US;
+        while let Some(((at_us, _), event)) = self.event_queue.pop_first() {
             self.now_us = at_us;
             match event {
                 Event::Arrive(kind) => {
@@ -184,50 +184,50 @@
                         self.schedule_arrival(kind);
                     }
                 }
-                Event::Reach(send) => self.reach(send),
-                Event::Leave(send) => self.leave(send),
-                Event::Answered(send) => self.answered(send),
+                Event::ReachReplica(send) => self.reach_replica(send),
+                Event::FinishRun(send) => self.finish_run(send),
+                Event::ReceiveAnswer(send) => self.receive_answer(send),
                 Event::Wake(query) => self.advance_all(query),
             }
         }
     }
 
-    fn at(&mut self, at_us: u64, event: Event) {
-        self.order += 1;
-        self.agenda.insert((at_us, self.order), event);
+    fn schedule(&mut self, at_us: u64, event: Event) {
+        self.next_event_id += 1;
+        self.event_queue.insert((at_us, self.next_event_id), event);
     }
 
     fn schedule_arrival(&mut self, kind: usize) {
-        let gap = Exp::new(self.load.kinds[kind].per_s).unwrap().sample(&mut self.rng);
-        self.at(self.now_us + (gap * 1e6) as u64, Event::Arrive(kind));
+        let gap = Exp::new(self.workload.query_kinds[kind].per_s).unwrap().sample(&mut self.rng);
+        self.schedule(self.now_us + (gap * 1e6) as u64, Event::Arrive(kind));
     }
 
     fn start_query(&mut self, kind: usize) {
         let node = self.rng.random_range(0..self.nodes.len());
-        let spec = self.load.kinds[kind].clone();
-        let times = self.nodes[node].times[kind].send_times(spec.goal_us, Fanout::Shards);
+        let spec = self.workload.query_kinds[kind].clone();
+        let times = self.nodes[node].times[kind].send_timing(spec.goal_us, Fanout::Shards);
         let fetch_plan = FetchPlan {
             expected_us: times.expected_us,
             hedge_after_us: times.hedge_after_us,
             max_attempts: 2,
             is_idempotent: true,
-            budget_shares: self.load.nodes,
+            budget_shares: self.workload.nodes,
             route_class: 0,
         };
-        let shards = self.load.shards;
+        let shards = self.workload.shards;
         let plan = GatherPlan {
             shards,
             min_parts: GatherPlan::min_parts(shards, spec.min_coverage),
-            stop_us: match self.load.way_us {
+            soft_deadline_us: match self.workload.caller_round_trip_us {
                 0 => self.now_us + spec.goal_us,
-                way_us => GatherPlan::stop_us(self.now_us, spec.goal_us, way_us, shards),
+                way_us => GatherPlan::soft_deadline_us(self.now_us, spec.goal_us, way_us, shards),
             },
             end_us: self.now_us + spec.timeout_us,
         };
         let budget = &mut self.nodes[node].budget;
         let fetches = (0..shards).map(|shard| {
             let service: EcoString = eco_format!("shard-{shard}");
-            budget.note_request(&service, self.now_us);
+            budget.record_request(&service, self.now_us);
             (Fetch::new(service), false, false)
         });
         let shards = fetches.collect();
@@ -235,14 +235,14 @@
             Query { kind, node, plan, fetch_plan, shards, started_us: self.now_us, is_over: false };
         self.queries.push(query);
         if self.is_measured(self.queries.len() - 1) {
-            self.outcomes[kind].asked += 1;
+            self.outcomes[kind].queries += 1;
         }
-        self.plan_asks();
+        self.select_shards();
         self.advance_all(self.queries.len() - 1);
     }
 
     /// Plans which shards the newest query asks.
-    fn plan_asks(&mut self) {
+    fn select_shards(&mut self) {
         let query = self.queries.last_mut().unwrap();
         let pool = &mut self.nodes[query.node].pool;
         let expected_us = query.fetch_plan.expected_us;
@@ -250,17 +250,17 @@
             query.shards.iter().map(|(fetch, _, _)| fetch.service().clone()).collect();
         let prospects: Vec<_> = services
             .iter()
-            .map(|service| pool.prospect(service, self.now_us, expected_us))
+            .map(|service| pool.forecast(service, self.now_us, expected_us))
             .collect();
-        let asks = plan_asks(&prospects, query.plan.min_parts);
-        asks.left_out.into_iter().for_each(|shard| query.shards[shard].2 = true);
-        for shard in asks.contested {
-            pool.note_contested(&services[shard], self.now_us);
+        let asks = select_shards(&prospects, query.plan.min_parts);
+        asks.skipped.into_iter().for_each(|shard| query.shards[shard].2 = true);
+        for shard in asks.reserved {
+            pool.reserve_replicas(&services[shard], self.now_us);
         }
     }
 
     fn is_measured(&self, query: usize) -> bool {
-        self.queries[query].started_us >= LEARN_US
+        self.queries[query].started_us >= WARM_UP_US
     }
 
     fn advance_all(&mut self, query: usize) {
@@ -268,10 +268,10 @@
             return;
         }
         let mut wake_us = u64::MAX;
-        for shard in 0..self.load.shards {
+        for shard in 0..self.workload.shards {
             wake_us = wake_us.min(self.advance(query, shard));
         }
-        self.decide(query, wake_us);
+        self.update_gather(query, wake_us);
     }
 
     /// Takes the next steps of one shard; returns when it wants another look.
@@ -287,15 +287,16 @@
                 FetchStep::Send { replica, send, cause } => {
                     let domain = node.domain;
                     let replica = self.replicas.iter().position(|one| one.id == replica).unwrap();
-                    let is_near = replica % self.load.copies == domain;
-                    let way_us = if is_near { NEAR_US } else { self.load.far_us };
+                    let is_near = replica % self.workload.replicas_per_shard == domain;
+                    let way_us =
+                        if is_near { SAME_DOMAIN_US } else { self.workload.cross_domain_us };
                     if self.is_measured(at) {
                         let outcome = &mut self.outcomes[self.queries[at].kind];
                         outcome.sends += 1;
                         let is_extra = cause != sassafrasproxy_core::SendCause::First;
-                        outcome.extra += usize::from(is_extra);
+                        outcome.extra_sends += usize::from(is_extra);
                     }
-                    self.sends.push(Send {
+                    self.sends.push(SimulatedSend {
                         query: at,
                         shard,
                         replica,
@@ -304,7 +305,7 @@
                         end: None,
                         reported: None,
                     });
-                    self.at(self.now_us + way_us, Event::Reach(self.sends.len() - 1));
+                    self.schedule(self.now_us + way_us, Event::ReachReplica(self.sends.len() - 1));
                 }
                 FetchStep::Wait { until_us } => return until_us.unwrap_or(u64::MAX),
                 FetchStep::Failed(_) => {
@@ -315,41 +316,41 @@
         }
     }
 
-    fn reach(&mut self, at: usize) {
+    fn reach_replica(&mut self, at: usize) {
         let send = &self.sends[at];
         let replica = &mut self.replicas[send.replica];
         match replica.fault {
             Some(Fault::Down) => {
-                return self.end(at, SendOutcome::Unreachable, TryResult::Unsent);
+                return self.send_answer(at, SendOutcome::Unreachable, SendResult::Unsent);
             }
-            Some(Fault::Dark) => {
+            Some(Fault::Unresponsive) => {
                 let query = &self.queries[send.query];
                 let wait_us = query.plan.end_us.saturating_sub(self.now_us) + 50_000;
-                self.sends[at].end = Some((SendOutcome::Silent, TryResult::MayHaveRun));
-                return self.at(self.now_us + wait_us, Event::Answered(at));
+                self.sends[at].end = Some((SendOutcome::TimedOut, SendResult::MayHaveRun));
+                return self.schedule(self.now_us + wait_us, Event::ReceiveAnswer(at));
             }
             Some(Fault::Slow(_) | Fault::Resets(_)) | None => {}
         }
-        if replica.running < self.load.slots {
+        if replica.running < self.workload.slots {
             replica.running += 1;
             self.run_send(at);
-        } else if replica.waiting.len() < self.load.queue {
+        } else if replica.waiting.len() < self.workload.queue_limit {
             replica.waiting.push(at);
         } else {
-            self.end(at, SendOutcome::Refused, TryResult::NotRun);
+            self.send_answer(at, SendOutcome::Refused, SendResult::NotRun);
         }
     }
 
     fn run_send(&mut self, at: usize) {
         let send = &self.sends[at];
-        let kind = &self.load.kinds[self.queries[send.query].kind];
+        let kind = &self.workload.query_kinds[self.queries[send.query].kind];
         let replica = &self.replicas[send.replica];
         let phase_us = self.now_us + replica.pause_phase_us;
-        let run_us = self.load.draw_run_us(&mut self.rng, kind, replica.fault, phase_us);
-        self.at(self.now_us + run_us, Event::Leave(at));
+        let run_us = self.workload.draw_run_us(&mut self.rng, kind, replica.fault, phase_us);
+        self.schedule(self.now_us + run_us, Event::FinishRun(at));
     }
 
-    fn leave(&mut self, at: usize) {
+    fn finish_run(&mut self, at: usize) {
         let replica = &mut self.replicas[self.sends[at].replica];
         replica.running -= 1;
         if !replica.waiting.is_empty() {
@@ -359,51 +360,51 @@
         }
         let resets = match self.replicas[self.sends[at].replica].fault {
             Some(Fault::Resets(part)) => part,
-            Some(Fault::Slow(_) | Fault::Down | Fault::Dark) | None => 0.0,
+            Some(Fault::Slow(_) | Fault::Down | Fault::Unresponsive) | None => 0.0,
         };
         if resets > 0.0 && self.rng.random_bool(resets) {
-            return self.end(at, SendOutcome::Lost, TryResult::MayHaveRun);
+            return self.send_answer(at, SendOutcome::Lost, SendResult::MayHaveRun);
         }
-        self.end(at, SendOutcome::Answered, TryResult::Answered);
+        self.send_answer(at, SendOutcome::Answered, SendResult::Answered);
     }
 
-    fn end(&mut self, at: usize, outcome: SendOutcome, result: TryResult) {
+    fn send_answer(&mut self, at: usize, outcome: SendOutcome, result: SendResult) {
         let send = &mut self.sends[at];
         let replica = &self.replicas[send.replica];
         send.end = Some((outcome, result));
         if !matches!(outcome, SendOutcome::Unreachable | SendOutcome::Lost) {
             send.reported = Some((replica.running + replica.waiting.len()) as u32);
         }
-        let is_near =
-            send.replica % self.load.copies == self.nodes[self.queries[send.query].node].domain;
-        let way_us = if is_near { NEAR_US } else { self.load.far_us };
-        self.at(self.now_us + way_us, Event::Answered(at));
+        let is_near = send.replica % self.workload.replicas_per_shard
+            == self.nodes[self.queries[send.query].node].domain;
+        let way_us = if is_near { SAME_DOMAIN_US } else { self.workload.cross_domain_us };
+        self.schedule(self.now_us + way_us, Event::ReceiveAnswer(at));
     }
 
-    fn answered(&mut self, at: usize) {
+    fn receive_answer(&mut self, at: usize) {
         let send = &self.sends[at];
         let (outcome, result) = send.end.unwrap();
         let (query_at, shard) = (send.query, send.shard);
         let (kind, node) = (self.queries[query_at].kind, self.queries[query_at].node);
         let id = self.replicas[send.replica].id.clone();
         let node = &mut self.nodes[node];
-        node.pool.finish(&id, send.send, self.now_us, outcome, send.reported);
+        node.pool.finish_send(&id, send.send, self.now_us, outcome, send.reported);
         if outcome == SendOutcome::Answered {
             node.times[kind].record(self.now_us - send.sent_us);
         }
         let query = &mut self.queries[query_at];
-        query.shards[shard].0.note(result);
+        query.shards[shard].0.record_result(result);
         if query.is_over {
             return;
         }
-        if result == TryResult::Answered {
+        if result == SendResult::Answered {
             query.shards[shard].1 = true;
         }
         let wake_us = self.advance(query_at, shard);
-        self.decide(query_at, wake_us);
+        self.update_gather(query_at, wake_us);
     }
 
-    fn decide(&mut self, at: usize, wake_us: u64) {
+    fn update_gather(&mut self, at: usize, wake_us: u64) {
         let query = &mut self.queries[at];
         let parts = query.shards.iter().filter(|(_, is_in, _)| *is_in).count();
         let missing = query.shards.iter().filter(|(_, _, is_missing)| *is_missing).count();
@@ -411,24 +412,26 @@
         match next_gather_step(self.now_us, &query.plan, parts, pending) {
             GatherStep::Wait { until_us } => {
                 let wake_us = wake_us.min(until_us).max(self.now_us + 1);
-                self.at(wake_us, Event::Wake(at));
+                self.schedule(wake_us, Event::Wake(at));
             }
             GatherStep::Answer => {
                 query.is_over = true;
                 let coverage = parts as f64 / query.shards.len() as f64;
                 let kind = query.kind;
-                let is_in_goal = match self.load.way_us {
-                    0 => self.now_us <= query.plan.stop_us + 1_000,
+                let is_in_goal = match self.workload.caller_round_trip_us {
+                    0 => self.now_us <= query.plan.soft_deadline_us + 1_000,
                     way_us => {
                         // Half of the way is gone, and an answer's way takes longer now and then.
-                        let late: f64 = Exp::new(WAY_JITTER_PARTS).unwrap().sample(&mut self.rng);
+                        let late: f64 =
+                            Exp::new(ROUND_TRIP_JITTER_DIVISOR).unwrap().sample(&mut self.rng);
                         let way_us = (way_us as f64 * (1.0 + late)) as u64;
-                        self.now_us + way_us <= query.started_us + self.load.kinds[kind].goal_us
+                        self.now_us + way_us
+                            <= query.started_us + self.workload.query_kinds[kind].goal_us
                     }
                 };
                 if self.is_measured(at) && is_in_goal {
                     self.outcomes[kind].in_goal += 1;
-                    self.outcomes[kind].credit += coverage * coverage;
+                    self.outcomes[kind].score += coverage * coverage;
                 }
             }
             GatherStep::GiveUp => {
--- a/crates/sassafrasproxy-core/tests/snapshots.rs
+++ b/crates/sassafrasproxy-core/tests/snapshot_choice.rs
@@ -7,7 +7,8 @@
 use ecow::EcoString;
 use indexmap::{IndexMap, IndexSet};
 use sassafrasproxy_core::{
-    AskToken, GroupTable, Query, QueryEffect, QueryEnd, QueryEvent, QueryPlan, QuerySpec, View,
+    GroupTable, Query, QueryEffect, QueryEnd, QueryEvent, QueryPlan, QuerySpec, ShardRequestToken,
+    View,
 };
 use sassafrasproxy_wire::{
     Configuration, GroupHoldings, Hlc, Limits, Outcome, Reason, ServiceSpec, SnapshotHolding,
@@ -15,17 +16,17 @@
 };
 
 /// What a test says of one group: its snapshots with layout and servable shards.
-type Held = &'static [(u64, &'static [&'static str], &'static [&'static str])];
+type HoldingsCase = &'static [(u64, &'static [&'static str], &'static [&'static str])];
 
 /// What a case is about, the services, and the snapshot and fraction of the plan.
-type PlanCase = (&'static str, &'static [(&'static str, Held)], u64, f64);
+type PlanCase = (&'static str, &'static [(&'static str, HoldingsCase)], u64, f64);
 
 fn names(names: &[&str]) -> Vec<EcoString> {
     names.iter().map(|name| (*name).into()).collect()
 }
 
 /// A view with one service for each entry, whose one group is `service/s0`.
-fn view(services: &[(&str, Held)]) -> View {
+fn view(services: &[(&str, HoldingsCase)]) -> View {
     let mut configuration = Configuration { revision: 1, ..Configuration::default() };
     let mut holdings = IndexMap::new();
     let mut homes: IndexMap<EcoString, Vec<EcoString>> = IndexMap::new();
@@ -70,13 +71,13 @@
     }
 }
 
-fn plan(services: &[(&'static str, Held)]) -> Option<QueryPlan> {
+fn plan_for(services: &[(&'static str, HoldingsCase)]) -> Option<QueryPlan> {
     let asked: Vec<EcoString> = services.iter().map(|(service, _)| (*service).into()).collect();
     QueryPlan::new(&view(services), &asked, &IndexSet::new())
 }
 
 #[test]
-fn choices() {
+fn snapshot_choice() {
     let cases: [PlanCase; 5] = [
         ("newest", &[("a", &[(7, &["s0"], &["s0"]), (8, &["s0"], &["s0"])])], 8, 1.0),
         (
@@ -117,14 +118,14 @@
         ),
     ];
     for (name, services, snapshot, fraction) in cases {
-        let plan = plan(services).unwrap();
+        let plan = plan_for(services).unwrap();
         assert_eq!((plan.snapshot, plan.fraction()), (snapshot, fraction), "{name}");
     }
-    assert_eq!(plan(&[("a", &[])]), None, "nothing known");
+    assert_eq!(plan_for(&[("a", &[])]), None, "nothing known");
 }
 
 /// Runs a query whose asks are answered by a function of shard and snapshot.
-fn run(
+fn run_query(
     view: &View,
     services: &[&str],
     is_idempotent: bool,
@@ -138,30 +139,33 @@
     };
     let mut query = Query::new(spec);
     let mut effects = query.step(0, QueryEvent::Start, view);
-    let mut abandoned: IndexSet<AskToken> = IndexSet::new();
+    let mut abandoned: IndexSet<ShardRequestToken> = IndexSet::new();
     while !effects.is_empty() {
         match effects.remove(0) {
-            QueryEffect::Ask { token, shard, snapshot, .. } if !abandoned.contains(&token) => {
+            QueryEffect::RequestShard { token, shard, snapshot, .. }
+                if !abandoned.contains(&token) =>
+            {
                 let outcome = answer(&shard.to_string(), snapshot);
                 effects.extend(query.step(1, QueryEvent::Replied { token, outcome }, view));
             }
             QueryEffect::Abandon { token } => drop(abandoned.insert(token)),
             QueryEffect::Finish(end) => return end,
-            QueryEffect::Ask { .. } | QueryEffect::Note(_) => {}
+            QueryEffect::RequestShard { .. } | QueryEffect::RecordEvent(_) => {}
         }
     }
     panic!("the query ends once every ask is answered");
 }
 
-const ROLLING: Held = &[(7, &["s0", "s1"], &["s0", "s1"]), (8, &["s0", "s1"], &["s0", "s1"])];
+const BOTH_SNAPSHOTS_SERVED: HoldingsCase =
+    &[(7, &["s0", "s1"], &["s0", "s1"]), (8, &["s0", "s1"], &["s0", "s1"])];
 
 // Index versions change under queries. A replica drops snapshot 8 after the query pinned it; a
 // user must get one snapshot's whole answer, never a mix of two.
 #[test]
-fn restart() {
-    let view = view(&[("a", ROLLING)]);
+fn restart_on_older_snapshot() {
+    let view = view(&[("a", BOTH_SNAPSHOTS_SERVED)]);
     let not_held = SubOutcome::NotRun { reason: Reason::NotHeld, retry_after_ms: 0 };
-    let end = run(&view, &["a"], true, |shard, snapshot| {
+    let end = run_query(&view, &["a"], true, |shard, snapshot| {
         if (shard, snapshot) == ("a/s1", 8) { not_held } else { SubOutcome::Answered }
     });
     assert_eq!((end.outcome, end.snapshot), (Outcome::Answered, Some(7)));
@@ -169,24 +173,18 @@
 }
 
 #[test]
-fn no_way_out() {
-    let view = view(&[("a", ROLLING)]);
+fn no_alternative_snapshot() {
+    let view = view(&[("a", BOTH_SNAPSHOTS_SERVED)]);
     let not_held = SubOutcome::NotRun { reason: Reason::NotHeld, retry_after_ms: 0 };
-    let end =
-        run(
-            &view,
-            &["a"],
-            true,
-            |shard, _| {
-                if shard == "a/s1" { not_held } else { SubOutcome::Answered }
-            },
-        );
+    let end = run_query(&view, &["a"], true, |shard, _| {
+        if shard == "a/s1" { not_held } else { SubOutcome::Answered }
+    });
     assert_eq!(end.coverage.fraction, 0.5);
     assert_eq!(end.coverage.missing[0].shard.to_string(), "a/s1");
 }
 
 #[test]
-fn true_outcomes() {
+fn combined_outcomes() {
     let shed = SubOutcome::NotRun { reason: Reason::Shed, retry_after_ms: 50 };
     let lost = SubOutcome::Unknown { reason: Reason::ConnectionLost };
     let yes = SubOutcome::Answered;
@@ -200,7 +198,7 @@
     ];
     for (name, is_idempotent, outcomes, expected) in cases {
         let view = view(&[("a", &[(7, &["s0", "s1"], &["s0", "s1"])])]);
-        let end = run(&view, &["a"], is_idempotent, |shard, _| {
+        let end = run_query(&view, &["a"], is_idempotent, |shard, _| {
             if shard == "a/s0" { outcomes[0] } else { outcomes[1] }
         });
         assert_eq!(end.outcome, expected, "{name}");
@@ -210,7 +208,7 @@
 // The home of a shard dies while it runs a reorder. Asking the next node would print the order
 // twice; a search may be asked again.
 #[test]
-fn dead_home() {
+fn home_unreachable() {
     for (is_idempotent, expected) in [(false, Outcome::Unknown), (true, Outcome::Answered)] {
         let view = view(&[("a", &[(7, &["s0"], &["s0"])])]);
         let spec = QuerySpec {
@@ -221,12 +219,12 @@
         };
         let mut query = Query::new(spec);
         let first = query.step(0, QueryEvent::Start, &view);
-        let QueryEffect::Ask { token, node, .. } = &first[0] else { panic!("{first:?}") };
+        let QueryEffect::RequestShard { token, node, .. } = &first[0] else { panic!("{first:?}") };
         assert_eq!(node, "vm-1");
         let event =
             QueryEvent::Unreachable { token: *token, may_have_arrived: true, is_alive: false };
         let mut effects = query.step(1, event, &view);
-        if let QueryEffect::Ask { token, node, is_fallback, .. } = effects[0].clone() {
+        if let QueryEffect::RequestShard { token, node, is_fallback, .. } = effects[0].clone() {
             assert_eq!((node.as_str(), is_fallback), ("vm-2", true));
             let outcome = SubOutcome::Answered;
             effects = query.step(2, QueryEvent::Replied { token, outcome }, &view);
@@ -249,7 +247,7 @@
     };
     let mut query = Query::new(spec);
     let effects = query.step(0, QueryEvent::Start, &view);
-    let QueryEffect::Ask { token, .. } = effects[0] else { panic!("{effects:?}") };
+    let QueryEffect::RequestShard { token, .. } = effects[0] else { panic!("{effects:?}") };
     query.step(1, QueryEvent::Replied { token, outcome: SubOutcome::Answered }, &view);
     assert!(query.step(89_999, QueryEvent::Timer, &view).is_empty());
     let effects = query.step(90_000, QueryEvent::Timer, &view);
--- a/crates/sassafrasproxy-core/tests/store_readers.rs
+++ b/crates/sassafrasproxy-core/tests/store_reader_count.rs
@@ -5,39 +5,39 @@
 mod nodes;
 
 use indexmap::IndexSet;
-use nodes::{Fleet, SECOND_US, index_of};
-use sassafrasproxy_core::Follow;
+use nodes::{Fleet, SECOND_US, node_index};
+use sassafrasproxy_core::SyncSource;
 
 /// The most nodes that may read the store while peers fail: in each of six failure domains as many
 /// as watch it in calm.
-const MOST_READERS: usize = 24;
+const MAX_READERS: usize = 24;
 
 /// Guards against calls to the store that grow with the fleet: watchers, registrations, and nodes
 /// that leave a watcher in trouble.
 #[test]
-fn few_at_each_size() {
+fn reader_count_is_bounded() {
     for size in [8, 200, 1_000] {
-        let mut fleet = Fleet::spread(size, 6, |_| 500);
-        fleet.run(10);
-        assert_eq!(fleet.counts(), (size, size));
+        let mut fleet = Fleet::with_domains(size, 6, |_| 500);
+        fleet.run_s(10);
+        assert_eq!(fleet.node_count_range(), (size, size));
         assert_eq!(fleet.watchers().len(), 4, "of {size} in calm");
         check_registrars(&fleet);
         check_tree(&fleet);
-        check_trouble(&mut fleet);
+        check_sync_failures(&mut fleet);
     }
 }
 
 /// Whom a node follows, if it does not read the store.
-fn source(fleet: &Fleet, at: usize) -> Option<usize> {
-    match fleet.nodes[at].follow(fleet.now_us) {
-        Follow::Store => None,
-        Follow::Peer { peer_address } => Some(index_of(&peer_address)),
+fn sync_source(fleet: &Fleet, at: usize) -> Option<usize> {
+    match fleet.nodes[at].sync_source(fleet.now_us) {
+        SyncSource::Store => None,
+        SyncSource::Peer { peer_address } => Some(node_index(&peer_address)),
     }
 }
 
 /// Eight nodes keep a registration in the store, in a fleet of any size.
 fn check_registrars(fleet: &Fleet) {
-    let is_registrar = |at: &usize| fleet.nodes[*at].is_registrar(fleet.now_us);
+    let is_registrar = |at: &usize| fleet.nodes[*at].should_register(fleet.now_us);
     let registrars = (0..fleet.nodes.len()).filter(is_registrar).count();
     assert_eq!(registrars, 8, "of {}", fleet.nodes.len());
 }
@@ -45,7 +45,7 @@
 /// Nodes do not follow each other in a circle, nor all the same one.
 fn check_tree(fleet: &Fleet) {
     let size = fleet.nodes.len();
-    let sources: Vec<Option<usize>> = (0..size).map(|at| source(fleet, at)).collect();
+    let sources: Vec<Option<usize>> = (0..size).map(|at| sync_source(fleet, at)).collect();
     let mut followers = vec![0; size];
     for start in 0..size {
         let mut seen = IndexSet::new();
@@ -65,17 +65,17 @@
 }
 
 /// Whoever is followed cannot tell more, again and again: few go to the store all the same.
-fn check_trouble(fleet: &mut Fleet) {
+fn check_sync_failures(fleet: &mut Fleet) {
     let size = fleet.nodes.len();
     for round in 0..10 {
         for at in 0..size {
-            let Some(followed) = source(fleet, at) else { continue };
+            let Some(followed) = sync_source(fleet, at) else { continue };
             let address = nodes::peer_address(followed);
-            fleet.nodes[at].note_not_followed(fleet.now_us, &address);
+            fleet.nodes[at].record_sync_failure(fleet.now_us, &address);
         }
         fleet.now_us += SECOND_US / 4;
         let readers = fleet.watchers().len();
-        assert!(readers <= MOST_READERS, "{readers} of {size} in round {round}");
+        assert!(readers <= MAX_READERS, "{readers} of {size} in round {round}");
     }
     println!("{size} nodes: {} read the store after ten failures", fleet.watchers().len());
 }
