--- a/crates/sassafrasproxy-gateway/src/answer.rs
+++ b/crates/sassafrasproxy-gateway/src/answer.rs
@@ -4,10 +4,12 @@
 use http::header::CONTENT_TYPE;
 use http::{HeaderMap, HeaderValue, Response, StatusCode};
 use http_body_util::Full;
-use sassafrasproxy_platform::{PartSummary, is_forwarded, write_part_summary, write_retry_after};
+use sassafrasproxy_platform::{
+    CoverageSummary, is_forwarded, write_coverage_summary, write_retry_after,
+};
 use serde_json::json;
 
-use crate::metrics::{GatewayMetrics, OfKind};
+use crate::metrics::{GatewayMetrics, KindLabel};
 use crate::upstream::UpstreamAnswer;
 
 /// An answer, ready to be sent.
@@ -25,7 +27,7 @@
     /// No configuration is known yet.
     NoConfiguration,
     /// It ran nowhere, as it has crashed replicas before.
-    CrashesReplicas,
+    Quarantined,
     /// It ran nowhere, and may be sent again.
     NotRun,
     /// It may have run, and no answer came in time.
@@ -42,7 +44,7 @@
             Self::NoRoute => "no_route",
             Self::TooLarge => "too_large",
             Self::NoConfiguration => "no_configuration",
-            Self::CrashesReplicas => "crashes_replicas",
+            Self::Quarantined => "crashes_replicas",
             Self::NotRun => "not_run",
             Self::TimedOut => "timed_out",
             Self::Lost => "lost",
@@ -54,7 +56,7 @@
             Self::BadRequest => StatusCode::BAD_REQUEST,
             Self::NoRoute => StatusCode::NOT_FOUND,
             Self::TooLarge => StatusCode::PAYLOAD_TOO_LARGE,
-            Self::NoConfiguration | Self::CrashesReplicas | Self::NotRun => {
+            Self::NoConfiguration | Self::Quarantined | Self::NotRun => {
                 StatusCode::SERVICE_UNAVAILABLE
             }
             Self::TimedOut => StatusCode::GATEWAY_TIMEOUT,
@@ -64,8 +66,12 @@
 }
 
 /// An answer of this node's own, with the time to come back where that helps.
-pub fn refuse(metrics: &GatewayMetrics, refusal: Refusal, retry_after_ms: Option<u64>) -> Answer {
-    metrics.refusals.get_or_create(&OfKind::new(refusal.reason())).inc();
+pub fn refusal_answer(
+    metrics: &GatewayMetrics,
+    refusal: Refusal,
+    retry_after_ms: Option<u64>,
+) -> Answer {
+    metrics.refusals.get_or_create(&KindLabel::new(refusal.reason())).inc();
     let body = json!({ "reason": refusal.reason(), "retry_after_ms": retry_after_ms });
     let mut answer = Response::new(Full::from(body.to_string()));
     *answer.status_mut() = refusal.status();
@@ -79,21 +85,21 @@
 }
 
 /// A replica's answer, unchanged but for what concerns its connection only.
-pub fn pass_on(upstream: UpstreamAnswer) -> Answer {
+pub fn forward_answer(upstream: UpstreamAnswer) -> Answer {
     let mut answer = Response::new(Full::new(upstream.body));
     *answer.status_mut() = upstream.status;
-    *answer.headers_mut() = forwarded(upstream.headers);
+    *answer.headers_mut() = forwarded_headers(upstream.headers);
     answer
 }
 
 /// The answer made of the parts of many shards.
-pub fn merged(records: Vec<u8>, summary: &PartSummary) -> Answer {
+pub fn merged_answer(records: Vec<u8>, summary: &CoverageSummary) -> Answer {
     let mut answer = Response::new(Full::from(records));
-    write_part_summary(answer.headers_mut(), summary);
+    write_coverage_summary(answer.headers_mut(), summary);
     answer
 }
 
-fn forwarded(headers: HeaderMap) -> HeaderMap {
+fn forwarded_headers(headers: HeaderMap) -> HeaderMap {
     let kept = headers.iter().filter(|(name, _)| is_forwarded(name));
     kept.map(|(name, value)| (name.clone(), value.clone())).collect()
 }
--- a/crates/sassafrasproxy-gateway/src/front.rs
+++ b/crates/sassafrasproxy-gateway/src/caller_server.rs
@@ -7,16 +7,16 @@
 use http::{HeaderValue, Request};
 use http_body_util::{BodyExt, LengthLimitError, Limited};
 use hyper::body::Incoming;
-use sassafrasproxy_core::{CallerTime, Catalogue, US_PER_MS};
-use sassafrasproxy_platform::caller_head;
+use sassafrasproxy_core::{CallerDeadline, Catalogue, US_PER_MS};
+use sassafrasproxy_platform::decode_caller_head;
 use sassafrasproxy_wire::{Route, RouteTarget};
 
-use crate::answer::{Answer, Refusal, refuse};
-use crate::listener::FirstOfConnection;
-use crate::metrics::{Answered, OfRoute};
+use crate::answer::{Answer, Refusal, refusal_answer};
+use crate::listener::FirstRequest;
+use crate::metrics::{AnswerLabels, RouteLabel};
 use crate::request::CallerRequest;
-use crate::traffic::Traffic;
-use crate::{gather, single};
+use crate::traffic::TrafficState;
+use crate::{gather, single_replica};
 
 /// When a caller may come back to a node that knows no configuration yet, in milliseconds.
 ///
@@ -25,21 +25,24 @@
 
 /// When a request that crashes replicas may come back, in milliseconds: when the reports on it
 /// have expired.
-const CRASHES_RETRY_MS: u64 = 30_000;
+const QUARANTINE_RETRY_MS: u64 = 30_000;
 
 /// Serves one request.
-pub async fn serve(traffic: Rc<Traffic>, request: Request<Incoming>) -> Result<Answer, Infallible> {
-    traffic.active.set(traffic.active.get() + 1);
-    let _active = ActiveRequest { traffic: traffic.clone() };
+pub async fn serve(
+    traffic: Rc<TrafficState>,
+    request: Request<Incoming>,
+) -> Result<Answer, Infallible> {
+    traffic.active_requests.set(traffic.active_requests.get() + 1);
+    let _active = ActiveRequestGuard { traffic: traffic.clone() };
     let mut answer = match answer(&traffic, request).await {
         Ok(answer) => answer,
         Err(refusal) => {
             let retry_after_ms = match refusal {
                 Refusal::NoConfiguration => {
-                    traffic.asked.send_replace(true);
+                    traffic.configuration_needed.send_replace(true);
                     Some(NO_CONFIGURATION_RETRY_MS)
                 }
-                Refusal::CrashesReplicas => Some(CRASHES_RETRY_MS),
+                Refusal::Quarantined => Some(QUARANTINE_RETRY_MS),
                 // Coming back would not help, or the answer says so itself.
                 Refusal::BadRequest
                 | Refusal::NoRoute
@@ -48,7 +51,7 @@
                 | Refusal::TimedOut
                 | Refusal::Lost => None,
             };
-            refuse(&traffic.metrics, refusal, retry_after_ms)
+            refusal_answer(&traffic.metrics, refusal, retry_after_ms)
         }
     };
     if traffic.is_leaving.get() {
@@ -58,73 +61,78 @@
 }
 
 /// Counts a request for as long as it is served, also when its caller leaves.
-struct ActiveRequest {
-    traffic: Rc<Traffic>,
+struct ActiveRequestGuard {
+    traffic: Rc<TrafficState>,
 }
 
-impl Drop for ActiveRequest {
+impl Drop for ActiveRequestGuard {
     fn drop(&mut self) {
-        self.traffic.active.set(self.traffic.active.get() - 1);
+        self.traffic.active_requests.set(self.traffic.active_requests.get() - 1);
     }
 }
 
-async fn answer(traffic: &Rc<Traffic>, request: Request<Incoming>) -> Result<Answer, Refusal> {
+async fn answer(traffic: &Rc<TrafficState>, request: Request<Incoming>) -> Result<Answer, Refusal> {
     let arrived_us = traffic.clock.now_us();
     let catalogue = traffic.catalogue();
     if catalogue.version == 0 {
         return Err(Refusal::NoConfiguration);
     }
     let (parts, body) = request.into_parts();
-    let head = caller_head(&parts.headers).map_err(|error| {
+    let head = decode_caller_head(&parts.headers).map_err(|error| {
         log::info!(error:%; "a request is refused");
         Refusal::BadRequest
     })?;
     let body = read_body(&catalogue, body).await?;
     // The configuration may have changed while the body came.
     let catalogue = traffic.catalogue();
-    let route = catalogue.routes.pick(&head.host, parts.uri.path());
+    let route = catalogue.routes.find_route(&head.host, parts.uri.path());
     let Some(route) = route.cloned() else {
         let (request, host, path) = (&head.attempt_id, &head.host, parts.uri.path());
         log::info!(request:%, host:%, path, version = catalogue.version; "no route");
         return Err(Refusal::NoRoute);
     };
-    let is_first = parts.extensions.get::<FirstOfConnection>().is_some();
+    let is_first = parts.extensions.get::<FirstRequest>().is_some();
     let gone_us = head.deadline_ms.map_or(0, |deadline_ms| {
-        let time = CallerTime { deadline_ms, timeout_ms: route.timeout_ms, is_first };
-        traffic.delays.borrow_mut().note(&route.name, time)
+        let time = CallerDeadline {
+            deadline_ms,
+            timeout_ms: route.timeout_ms,
+            is_first_on_connection: is_first,
+        };
+        traffic.caller_delays.borrow_mut().record_request(&route.name, time)
     });
     let request = Rc::new(CallerRequest::new(head, parts, body, arrived_us, gone_us));
-    if traffic.crashes_replicas(request.fingerprint) {
+    if traffic.is_quarantined(request.fingerprint) {
         let request = &request.attempt_id;
         log::info!(request:%, route:% = route.name; "the request crashes replicas");
-        return Err(Refusal::CrashesReplicas);
+        return Err(Refusal::Quarantined);
     }
     let answer = serve_route(traffic, &request, &route).await?;
-    note_answer(traffic, &request, &route, catalogue.version, &answer);
+    record_answer(traffic, &request, &route, catalogue.version, &answer);
     Ok(answer)
 }
 
 async fn serve_route(
-    traffic: &Rc<Traffic>,
+    traffic: &Rc<TrafficState>,
     request: &Rc<CallerRequest>,
     route: &Route,
 ) -> Result<Answer, Refusal> {
     let request = request.clone();
     Ok(match &route.target {
         RouteTarget::Service(service) => {
-            single::serve(traffic, request, route, service.clone()).await
+            single_replica::serve(traffic, request, route, service.clone()).await
         }
         RouteTarget::Split(parts) => {
-            let service = traffic.choose_split(&route.name, parts).ok_or(Refusal::NotRun)?;
-            single::serve(traffic, request, route, service).await
+            let service =
+                traffic.choose_split_service(&route.name, parts).ok_or(Refusal::NotRun)?;
+            single_replica::serve(traffic, request, route, service).await
         }
         RouteTarget::Gather(target) => gather::serve(traffic, request, route, target).await,
     })
 }
 
 /// Counts an answer and logs it: the one line of a request in calm.
-fn note_answer(
-    traffic: &Traffic,
+fn record_answer(
+    traffic: &TrafficState,
     request: &CallerRequest,
     route: &Route,
     version: u64,
@@ -132,12 +140,12 @@
 ) {
     let took_us = traffic.clock.now_us() - request.arrived_us;
     let status = answer.status().as_u16();
-    let by_route = Answered { route: route.name.to_string(), status };
+    let by_route = AnswerLabels { route: route.name.to_string(), status };
     traffic.metrics.answers.get_or_create(&by_route).inc();
-    let of_route = OfRoute { route: by_route.route };
+    let of_route = RouteLabel { route: by_route.route };
     traffic.metrics.latency.get_or_create(&of_route).observe(took_us as f64 / 1e6);
-    let gone_ms = request.gone_us / US_PER_MS;
-    let way_ms = traffic.delays.borrow().round_trip_us() / US_PER_MS;
+    let gone_ms = request.elapsed_before_arrival_us / US_PER_MS;
+    let way_ms = traffic.caller_delays.borrow().round_trip_us() / US_PER_MS;
     let reason = answer.extensions().get::<Refusal>().map_or("", |refusal| refusal.reason());
     let (request, route, took_ms) = (&request.attempt_id, &route.name, took_us / US_PER_MS);
     log::info!(
--- a/crates/sassafrasproxy-gateway/src/connections.rs
+++ b/crates/sassafrasproxy-gateway/src/connection_pool.rs
@@ -23,28 +23,28 @@
 const KEEP_ALIVE_MARGIN_MS: u64 = 250;
 
 /// A connection that can carry one request at a time.
-pub type UpstreamSender = SendRequest<Full<Bytes>>;
+pub type UpstreamConnection = SendRequest<Full<Bytes>>;
 
 /// An idle connection.
 #[derive(Debug)]
 struct IdleConnection {
-    sender: UpstreamSender,
+    sender: UpstreamConnection,
     /// Until when it may be used, in microseconds.
-    until_us: u64,
+    usable_until_us: u64,
 }
 
 /// The idle connections to all replicas, by replica id.
 #[derive(Debug, Default)]
-pub struct Connections {
+pub struct ConnectionPool {
     idle: IndexMap<EcoString, Vec<IdleConnection>>,
 }
 
-impl Connections {
+impl ConnectionPool {
     /// Takes the idle connection to a replica that was used last.
-    pub fn take(&mut self, replica: &str, now_us: u64) -> Option<UpstreamSender> {
+    pub fn take(&mut self, replica: &str, now_us: u64) -> Option<UpstreamConnection> {
         let idle = self.idle.get_mut(replica)?;
         while let Some(connection) = idle.pop() {
-            if connection.until_us > now_us && !connection.sender.is_closed() {
+            if connection.usable_until_us > now_us && !connection.sender.is_closed() {
                 return Some(connection.sender);
             }
         }
@@ -55,7 +55,7 @@
     pub fn put(
         &mut self,
         replica: &EcoString,
-        sender: UpstreamSender,
+        sender: UpstreamConnection,
         now_us: u64,
         keep_alive_ms: Option<u64>,
         limit: usize,
@@ -63,11 +63,11 @@
         let usable_ms = keep_alive_ms.map(|ms| ms.saturating_sub(KEEP_ALIVE_MARGIN_MS));
         let until_us = usable_ms.map_or(u64::MAX, |ms| now_us + ms * US_PER_MS);
         let idle = self.idle.entry(replica.clone()).or_default();
-        idle.retain(|one| one.until_us > now_us && !one.sender.is_closed());
+        idle.retain(|one| one.usable_until_us > now_us && !one.sender.is_closed());
         if idle.len() >= limit {
             return;
         }
-        idle.push(IdleConnection { sender, until_us });
+        idle.push(IdleConnection { sender, usable_until_us: until_us });
     }
 
     /// Drops the idle connections to a replica.
@@ -96,16 +96,16 @@
 pub enum ConnectError {
     /// Nothing came back in time.
     #[error("no answer within {0:?}")]
-    Silent(Duration),
+    TimedOut(Duration),
     /// The system says why.
     #[error("{0}")]
-    Failed(#[from] io::Error),
+    Io(#[from] io::Error),
     /// The replica took it and ended it again.
     #[error("the replica ended the new connection")]
-    Ended,
+    Closed,
     /// The HTTP library could not take it.
     #[error("{0}")]
-    Unusable(#[from] hyper::Error),
+    Handshake(#[from] hyper::Error),
 }
 
 impl ConnectError {
@@ -113,11 +113,11 @@
     ///
     /// A replica that is over its cap resets new ones, but lives. Taken for dead, it would make
     /// requests that broke off there look as if they had crashed it.
-    pub fn is_death(&self) -> bool {
+    pub fn is_process_gone(&self) -> bool {
         match self {
-            Self::Silent(_) => true,
-            Self::Failed(error) => error.kind() != io::ErrorKind::ConnectionReset,
-            Self::Ended | Self::Unusable(_) => false,
+            Self::TimedOut(_) => true,
+            Self::Io(error) => error.kind() != io::ErrorKind::ConnectionReset,
+            Self::Closed | Self::Handshake(_) => false,
         }
     }
 }
@@ -131,12 +131,12 @@
     address: SocketAddr,
     limit: Duration,
     quiet: Duration,
-) -> Result<UpstreamSender, ConnectError> {
+) -> Result<UpstreamConnection, ConnectError> {
     let connecting = timeout(limit, TcpStream::connect(address)).await;
-    let stream = connecting.map_err(|_| ConnectError::Silent(limit))??;
+    let stream = connecting.map_err(|_| ConnectError::TimedOut(limit))??;
     stream.set_nodelay(true)?;
     if !quiet.is_zero() && timeout(quiet, stream.readable()).await.is_ok() {
-        return Err(ConnectError::Ended);
+        return Err(ConnectError::Closed);
     }
     let (sender, connection) = handshake(TokioIo::new(stream)).await?;
     spawn_local(async move {
--- a/crates/sassafrasproxy-gateway/src/directory.rs
+++ b/crates/sassafrasproxy-gateway/src/directory.rs
@@ -11,24 +11,24 @@
 use hyper::body::Incoming;
 use indexmap::IndexSet;
 use sassafrasproxy_core::directory_addresses;
-use sassafrasproxy_platform::{directory_answer, directory_question};
+use sassafrasproxy_platform::{decode_directory_query, encode_directory_answer};
 
 use crate::answer::Answer;
-use crate::traffic::Traffic;
+use crate::traffic::TrafficState;
 
 /// Answers a caller that asks which addresses to use.
 pub async fn serve_directory(
-    traffic: Rc<Traffic>,
+    traffic: Rc<TrafficState>,
     request: Request<Incoming>,
 ) -> Result<Answer, Infallible> {
-    let caller_domain = directory_question(request.uri().query());
+    let caller_domain = decode_directory_query(request.uri().query());
     let view = traffic.view.borrow().clone();
     // Shards set the load: a merged query is one request to each of them.
     let routes = view.catalogue.routes.routes();
     let services: IndexSet<&EcoString> = routes.flat_map(|route| route.target.services()).collect();
-    let counts = traffic.pool.borrow().domain_counts(services);
+    let counts = traffic.pool.borrow().replicas_by_domain(services);
     let addresses = directory_addresses(&view.nodes, &counts, caller_domain.as_deref());
-    let body = directory_answer(&addresses, traffic.settings().address_keep_ms);
+    let body = encode_directory_answer(&addresses, traffic.settings().address_keep_ms);
     let mut answer = Response::new(Full::new(Bytes::from(body)));
     answer.headers_mut().insert(CONTENT_TYPE, HeaderValue::from_static("application/json"));
     Ok(answer)
@@ -36,7 +36,7 @@
 
 /// Gives the metrics as text.
 pub async fn serve_metrics(
-    traffic: Rc<Traffic>,
+    traffic: Rc<TrafficState>,
     _request: Request<Incoming>,
 ) -> Result<Answer, Infallible> {
     let mut answer = Response::new(Full::default());
@@ -52,7 +52,7 @@
 
 /// Tells whether callers should be sent here.
 pub async fn serve_ready(
-    traffic: Rc<Traffic>,
+    traffic: Rc<TrafficState>,
     _request: Request<Incoming>,
 ) -> Result<Answer, Infallible> {
     let is_ready = !traffic.is_leaving.get() && traffic.catalogue().version > 0;
--- a/crates/sassafrasproxy-gateway/src/gateway.rs
+++ b/crates/sassafrasproxy-gateway/src/gateway.rs
@@ -21,33 +21,33 @@
 use tokio::time::sleep;
 
 use crate::answer::Answer;
-use crate::control::{self, ControlStart};
+use crate::control::{self, ControlSetup};
 use crate::listener::{self, ConnectionLimits};
 use crate::metrics::GatewayMetrics;
-use crate::traffic::Traffic;
+use crate::traffic::TrafficState;
 use crate::view::GatewayView;
-use crate::{directory, front, relay_server};
+use crate::{caller_server, directory, relay_server};
 
 /// The largest head of a question to the directory or the readiness check, in bytes.
-const SMALL_HEAD_BYTES: usize = 8_192;
+const AUXILIARY_HEAD_BYTES: usize = 8_192;
 
 /// How long a connection to the directory or the readiness check may be idle.
-const SMALL_IDLE: Duration = Duration::from_secs(15);
+const AUXILIARY_IDLE_TIMEOUT: Duration = Duration::from_secs(15);
 
 /// The part of the grace time in which a leaving node still takes new connections.
 ///
 /// By then most callers have asked the directory again; the others find the port closed and go
 /// elsewhere at once.
-const SERVE_PART: f64 = 0.55;
+const ACCEPT_FRACTION: f64 = 0.55;
 
 /// The part of the grace time after which a leaving node ends whatever is under way.
-const END_PART: f64 = 0.93;
+const DRAIN_END_FRACTION: f64 = 0.93;
 
 /// How often a leaving node looks whether its requests have ended.
-const DRAIN_CHECK: Duration = Duration::from_millis(25);
+const DRAIN_CHECK_INTERVAL: Duration = Duration::from_millis(25);
 
 /// How long the last answer takes to leave the process once its request has ended.
-const FLUSH: Duration = Duration::from_millis(50);
+const FLUSH_DELAY: Duration = Duration::from_millis(50);
 
 /// Why a gateway could not run.
 #[derive(Debug, Error)]
@@ -93,7 +93,7 @@
     /// Runs on this thread until the graceful shutdown that SIGTERM or SIGINT starts has ended.
     pub fn run(self) -> Result<(), GatewayError> {
         let clock = Clock::start();
-        let me = self.me()?;
+        let me = self.local_member()?;
         let address = me.address.clone();
         let metrics_values = Arc::new(GatewayMetrics::new());
         let (view_sender, views) = watch::channel(GatewayView::default());
@@ -104,20 +104,20 @@
         let (trials_sender, trials) = mpsc::unbounded_channel();
         let (settings, settings_changes) = watch::channel(self.settings.clone());
         let Sockets { callers, ready, directory, metrics, relay, facts, heartbeats } = self.sockets;
-        let start = ControlStart {
+        let start = ControlSetup {
             clock,
             settings,
             settings_file: self.settings_file,
-            me,
-            heartbeats,
-            facts,
+            local_member: me,
+            heartbeat_socket: heartbeats,
+            peer_sync_listener: facts,
             metrics: metrics_values.clone(),
-            crashes_seen,
-            crashes_heard,
-            trials,
+            local_crashes: crashes_seen,
+            peer_crashes: crashes_heard,
+            local_trials: trials,
             view: view_sender,
             leaving,
-            asked,
+            configuration_needed: asked,
         };
         std::thread::Builder::new().name("control".into()).spawn(move || {
             if let Err(error) = control::run(start) {
@@ -126,7 +126,7 @@
         })?;
         let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
         LocalSet::new().block_on(&runtime, async {
-            let traffic = Rc::new(Traffic::new(
+            let traffic = Rc::new(TrafficState::new(
                 clock,
                 self.settings,
                 metrics_values,
@@ -134,17 +134,17 @@
                 crashes,
                 asked_sender,
             ));
-            spawn_local(traffic.clone().follow(views));
+            spawn_local(traffic.clone().follow_views(views));
             spawn_local(traffic.clone().follow_settings(settings_changes));
             spawn_local(traffic.clone().follow_crashes(heard));
-            spawn_local(traffic.clone().tell_trials(trials_sender));
+            spawn_local(traffic.clone().report_trials(trials_sender));
             let (stop, stopping) = watch::channel(false);
-            let serving = Serving { traffic: traffic.clone(), stopping };
-            serving.spawn(callers, caller_limits, front::serve)?;
-            serving.spawn(ready, small_limits, directory::serve_ready)?;
-            serving.spawn(directory, small_limits, directory::serve_directory)?;
+            let serving = ListenerContext { traffic: traffic.clone(), stopping };
+            serving.spawn(callers, caller_limits, caller_server::serve)?;
+            serving.spawn(ready, auxiliary_limits, directory::serve_ready)?;
+            serving.spawn(directory, auxiliary_limits, directory::serve_directory)?;
             if let Some(metrics) = metrics {
-                serving.spawn(metrics, small_limits, directory::serve_metrics)?;
+                serving.spawn(metrics, auxiliary_limits, directory::serve_metrics)?;
             }
             let relay = TcpListener::from_std(relay)?;
             spawn_local(relay_server::run(relay, traffic.clone()));
@@ -158,7 +158,7 @@
     }
 
     /// This node as its peers know it; logs where it listens.
-    fn me(&self) -> Result<MemberUpdate, GatewayError> {
+    fn local_member(&self) -> Result<MemberUpdate, GatewayError> {
         let callers = self.sockets.callers.local_addr()?;
         let directory = self.sockets.directory.local_addr()?;
         let ready = self.sockets.ready.local_addr()?;
@@ -208,20 +208,20 @@
 }
 
 /// What the listeners of the traffic thread share.
-struct Serving {
-    traffic: Rc<Traffic>,
+struct ListenerContext {
+    traffic: Rc<TrafficState>,
     stopping: watch::Receiver<bool>,
 }
 
-impl Serving {
+impl ListenerContext {
     fn spawn<F, S>(
         &self,
         listener: std::net::TcpListener,
-        limits: fn(&Traffic) -> ConnectionLimits,
+        limits: fn(&TrafficState) -> ConnectionLimits,
         serve: S,
     ) -> std::io::Result<()>
     where
-        S: Fn(Rc<Traffic>, Request<Incoming>) -> F + Copy + 'static,
+        S: Fn(Rc<TrafficState>, Request<Incoming>) -> F + Copy + 'static,
         F: Future<Output = Result<Answer, Infallible>> + 'static,
     {
         let listener = TcpListener::from_std(listener)?;
@@ -242,35 +242,39 @@
 }
 
 /// Serves on until callers have moved on, lets requests end, and ends before the grace time does.
-async fn shut_down(traffic: &Traffic, stop: &watch::Sender<bool>) {
+async fn shut_down(traffic: &TrafficState, stop: &watch::Sender<bool>) {
     let grace = Duration::from_millis(traffic.settings().grace_ms);
     traffic.is_leaving.set(true);
-    sleep(grace.mul_f64(SERVE_PART)).await;
+    sleep(grace.mul_f64(ACCEPT_FRACTION)).await;
     stop.send_replace(true);
     let drained = async {
         // Idle connections have been closed: those that are left carry a request, or will.
-        while traffic.active.get() > 0 || traffic.connected.get() > 0 {
-            sleep(DRAIN_CHECK).await;
+        while traffic.active_requests.get() > 0 || traffic.open_connections.get() > 0 {
+            sleep(DRAIN_CHECK_INTERVAL).await;
         }
-        sleep(FLUSH).await;
+        sleep(FLUSH_DELAY).await;
     };
-    let left = grace.mul_f64(END_PART - SERVE_PART);
+    let left = grace.mul_f64(DRAIN_END_FRACTION - ACCEPT_FRACTION);
     if tokio::time::timeout(left, drained).await.is_err() {
-        log::warn!(requests = traffic.active.get(); "the grace time cuts requests off");
+        log::warn!(requests = traffic.active_requests.get(); "the grace time cuts requests off");
     }
 }
 
-fn caller_limits(traffic: &Traffic) -> ConnectionLimits {
+fn caller_limits(traffic: &TrafficState) -> ConnectionLimits {
     let limits = traffic.catalogue().caller_limits;
     ConnectionLimits {
         header_bytes: limits.header_bytes,
-        idle: Duration::from_millis(limits.idle_timeout_ms.max(limits.header_timeout_ms)),
-        is_awaited: true,
+        idle_timeout: Duration::from_millis(limits.idle_timeout_ms.max(limits.header_timeout_ms)),
+        blocks_shutdown: true,
     }
 }
 
-fn small_limits(_: &Traffic) -> ConnectionLimits {
-    ConnectionLimits { header_bytes: SMALL_HEAD_BYTES, idle: SMALL_IDLE, is_awaited: false }
+fn auxiliary_limits(_: &TrafficState) -> ConnectionLimits {
+    ConnectionLimits {
+        header_bytes: AUXILIARY_HEAD_BYTES,
+        idle_timeout: AUXILIARY_IDLE_TIMEOUT,
+        blocks_shutdown: false,
+    }
 }
 
 fn listen(address: SocketAddr) -> Result<std::net::TcpListener, GatewayError> {
--- a/crates/sassafrasproxy-gateway/src/http_client.rs
+++ b/crates/sassafrasproxy-gateway/src/http_client.rs
@@ -9,7 +9,7 @@
 use http_body_util::{BodyExt, Full};
 use hyper::client::conn::http1::{SendRequest, handshake};
 use hyper_util::rt::TokioIo;
-use sassafrasproxy_platform::{StoreCall, StoreError};
+use sassafrasproxy_platform::{StoreError, StoreRequest};
 use socket2::{SockRef, TcpKeepalive};
 use tokio::net::TcpStream;
 use tokio::task::spawn_local;
@@ -24,19 +24,19 @@
 ///
 /// A watch waits for seconds: probes show a peer that has lost the connection, or a path that
 /// is cut, before the watch would have come back.
-const PROBE_INTERVAL: Duration = Duration::from_secs(1);
+const KEEPALIVE_PROBE_INTERVAL: Duration = Duration::from_secs(1);
 
 /// How many probes without an answer end a connection.
-const PROBE_COUNT: u32 = 2;
+const KEEPALIVE_PROBE_COUNT: u32 = 2;
 
 /// A client that makes one call at a time.
 #[derive(Debug)]
-pub struct KeptClient {
+pub struct PersistentClient {
     address: SocketAddr,
     sender: Option<SendRequest<Full<Bytes>>>,
 }
 
-impl KeptClient {
+impl PersistentClient {
     /// A client that connects at its first call.
     pub fn new(address: SocketAddr) -> Self {
         Self { address, sender: None }
@@ -45,10 +45,10 @@
     /// Makes a call; after any failure the next one uses a new connection.
     pub async fn call(
         &mut self,
-        call: StoreCall,
+        call: StoreRequest,
         limit: Duration,
     ) -> Result<(StatusCode, Bytes), StoreError> {
-        let made = timeout(limit, self.call_unbounded(call)).await;
+        let made = timeout(limit, self.call_without_timeout(call)).await;
         let result = made.unwrap_or_else(|_| {
             Err(StoreError::NoAnswer { detail: eco_format!("nothing came in {limit:?}") })
         });
@@ -63,7 +63,10 @@
         self.sender = None;
     }
 
-    async fn call_unbounded(&mut self, call: StoreCall) -> Result<(StatusCode, Bytes), StoreError> {
+    async fn call_without_timeout(
+        &mut self,
+        call: StoreRequest,
+    ) -> Result<(StatusCode, Bytes), StoreError> {
         let host = eco_format!("{}", self.address);
         let mut request = Request::builder()
             .method(call.method)
@@ -98,9 +101,9 @@
     let stream = connected.map_err(no_answer)?.map_err(no_answer)?;
     stream.set_nodelay(true).map_err(no_answer)?;
     let probes = TcpKeepalive::new()
-        .with_time(PROBE_INTERVAL)
-        .with_interval(PROBE_INTERVAL)
-        .with_retries(PROBE_COUNT);
+        .with_time(KEEPALIVE_PROBE_INTERVAL)
+        .with_interval(KEEPALIVE_PROBE_INTERVAL)
+        .with_retries(KEEPALIVE_PROBE_COUNT);
     if let Err(error) = SockRef::from(&stream).set_tcp_keepalive(&probes) {
         log::warn!(error:%; "a connection goes without probes");
     }
--- a/crates/sassafrasproxy-gateway/src/lib.rs
+++ b/crates/sassafrasproxy-gateway/src/lib.rs
@@ -4,30 +4,30 @@
 //! other serves callers. Decisions stand in `sassafrasproxy-core`.
 
 mod answer;
-mod connections;
+mod caller_server;
+mod connection_pool;
 mod control;
 mod directory;
-mod facts;
-mod follow;
-mod front;
 mod gateway;
 mod gather;
 mod http_client;
 mod listener;
 mod metrics;
-mod peer_facts;
-mod peers;
-mod register;
+mod peer_gossip;
+mod peer_sync;
+mod registration;
+mod relay_call;
+mod relay_pool;
 mod relay_server;
-mod relayed;
-mod relays;
 mod reload;
 mod request;
 mod rollouts;
-mod single;
+mod single_replica;
+mod store_events;
+mod store_follower;
 mod traffic;
 mod upstream;
 mod view;
 
-pub use self::connections::{ConnectError, connect};
+pub use self::connection_pool::{ConnectError, connect};
 pub use self::gateway::{Gateway, GatewayError};
--- a/crates/sassafrasproxy-gateway/src/listener.rs
+++ b/crates/sassafrasproxy-gateway/src/listener.rs
@@ -16,10 +16,10 @@
 use tokio::time::sleep;
 
 use crate::answer::Answer;
-use crate::traffic::Traffic;
+use crate::traffic::TrafficState;
 
 /// The pause after a connection could not be accepted, as when descriptors have run out.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
 
 /// What the connections of a listener are served with.
 #[derive(Debug, Clone, Copy)]
@@ -27,23 +27,23 @@
     /// The largest request head, in bytes.
     pub header_bytes: usize,
     /// How long a connection may be idle or take for a request head.
-    pub idle: Duration,
+    pub idle_timeout: Duration,
     /// Whether a node that leaves waits until the connection has ended.
     ///
     /// Guards against losing a request that arrives as the node closes its port: read but not yet
     /// counted as under way, it was sent to a replica, and the process ended before its answer.
-    pub is_awaited: bool,
+    pub blocks_shutdown: bool,
 }
 
 /// Accepts connections until told to stop, and lets each end with the request it carries.
 pub async fn run<F, S>(
     listener: TcpListener,
-    traffic: Rc<Traffic>,
-    limits: impl Fn(&Traffic) -> ConnectionLimits,
+    traffic: Rc<TrafficState>,
+    limits: impl Fn(&TrafficState) -> ConnectionLimits,
     serve: S,
     mut stopping: watch::Receiver<bool>,
 ) where
-    S: Fn(Rc<Traffic>, Request<Incoming>) -> F + Copy + 'static,
+    S: Fn(Rc<TrafficState>, Request<Incoming>) -> F + Copy + 'static,
     F: Future<Output = Result<Answer, Infallible>> + 'static,
 {
     loop {
@@ -59,7 +59,7 @@
             }
             Err(error) => {
                 log::warn!(error:%; "a connection could not be accepted");
-                sleep(ACCEPT_PAUSE).await;
+                sleep(ACCEPT_RETRY_DELAY).await;
             }
         }
     }
@@ -67,29 +67,29 @@
 
 async fn serve_connection<F, S>(
     stream: TcpStream,
-    traffic: Rc<Traffic>,
+    traffic: Rc<TrafficState>,
     limits: ConnectionLimits,
     serve: S,
     mut stopping: watch::Receiver<bool>,
 ) where
-    S: Fn(Rc<Traffic>, Request<Incoming>) -> F + Copy + 'static,
+    S: Fn(Rc<TrafficState>, Request<Incoming>) -> F + Copy + 'static,
     F: Future<Output = Result<Answer, Infallible>> + 'static,
 {
-    let _awaited = limits.is_awaited.then(|| AwaitedConnection::new(traffic.clone()));
+    let _awaited = limits.blocks_shutdown.then(|| OpenConnectionGuard::new(traffic.clone()));
     if let Err(error) = stream.set_nodelay(true) {
         log::debug!(error:%; "a connection goes without nodelay");
     }
     let is_first = Cell::new(true);
     let service = service_fn(move |mut request: Request<Incoming>| {
         if is_first.replace(false) {
-            request.extensions_mut().insert(FirstOfConnection);
+            request.extensions_mut().insert(FirstRequest);
         }
         serve(traffic.clone(), request)
     });
     let connection = Builder::new()
         .timer(TokioTimer::new())
-        .header_read_timeout(limits.idle)
-        .max_buf_size(limits.header_bytes.max(MIN_BUFFER_BYTES))
+        .header_read_timeout(limits.idle_timeout)
+        .max_buf_size(limits.header_bytes.max(MIN_READ_BUFFER_BYTES))
         .serve_connection(TokioIo::new(stream), service);
     let mut connection = std::pin::pin!(connection);
     let result = tokio::select! {
@@ -106,25 +106,25 @@
 
 /// Marks the first request of a connection: its caller had to connect.
 #[derive(Debug, Clone, Copy)]
-pub struct FirstOfConnection;
+pub struct FirstRequest;
 
 /// The least read buffer that the HTTP library takes, in bytes.
-const MIN_BUFFER_BYTES: usize = 8_192;
+const MIN_READ_BUFFER_BYTES: usize = 8_192;
 
 /// Counts a connection of a caller for as long as it is open.
-struct AwaitedConnection {
-    traffic: Rc<Traffic>,
+struct OpenConnectionGuard {
+    traffic: Rc<TrafficState>,
 }
 
-impl AwaitedConnection {
-    fn new(traffic: Rc<Traffic>) -> Self {
-        traffic.connected.set(traffic.connected.get() + 1);
+impl OpenConnectionGuard {
+    fn new(traffic: Rc<TrafficState>) -> Self {
+        traffic.open_connections.set(traffic.open_connections.get() + 1);
         Self { traffic }
     }
 }
 
-impl Drop for AwaitedConnection {
+impl Drop for OpenConnectionGuard {
     fn drop(&mut self) {
-        self.traffic.connected.set(self.traffic.connected.get() - 1);
+        self.traffic.open_connections.set(self.traffic.open_connections.get() - 1);
     }
 }
--- a/crates/sassafrasproxy-gateway/src/metrics.rs
+++ b/crates/sassafrasproxy-gateway/src/metrics.rs
@@ -14,7 +14,7 @@
 /// One value of one label.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 #[derive(EncodeLabelSet)]
-pub struct Answered {
+pub struct AnswerLabels {
     /// The route's name.
     pub route: String,
     /// The status.
@@ -24,7 +24,7 @@
 /// A route.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 #[derive(EncodeLabelSet)]
-pub struct OfRoute {
+pub struct RouteLabel {
     /// The route's name.
     pub route: String,
 }
@@ -32,7 +32,7 @@
 /// A reason or kind, from a fixed set.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 #[derive(EncodeLabelSet)]
-pub struct OfKind {
+pub struct KindLabel {
     /// The reason or kind.
     pub kind: &'static str,
 }
@@ -42,33 +42,33 @@
 pub struct GatewayMetrics {
     registry: Registry,
     /// Answers by route and status.
-    pub answers: Family<Answered, Counter>,
+    pub answers: Family<AnswerLabels, Counter>,
     /// Seconds from a request's arrival to its answer, by route.
-    pub latency: Family<OfRoute, Histogram>,
+    pub latency: Family<RouteLabel, Histogram>,
     /// Requests that this node refused or gave up on, by reason.
-    pub refusals: Family<OfKind, Counter>,
+    pub refusals: Family<KindLabel, Counter>,
     /// Sends to replicas, by cause.
-    pub sends: Family<OfKind, Counter>,
+    pub sends: Family<KindLabel, Counter>,
     /// Ends of sends, by outcome.
-    pub send_ends: Family<OfKind, Counter>,
+    pub send_ends: Family<KindLabel, Counter>,
     /// Shards that merged answers left out.
     pub missing_parts: Counter,
     /// Calls to the store, by call.
-    pub store_calls: Family<OfKind, Counter>,
+    pub store_calls: Family<KindLabel, Counter>,
     /// Calls to the store that failed, by call.
-    pub store_failures: Family<OfKind, Counter>,
+    pub store_failures: Family<KindLabel, Counter>,
     /// Datagrams sent to peers, by kind.
-    pub peer_datagrams: Family<OfKind, Counter>,
+    pub peer_datagrams: Family<KindLabel, Counter>,
     /// The bytes of these, by kind.
-    pub peer_bytes: Family<OfKind, Counter>,
+    pub peer_bytes: Family<KindLabel, Counter>,
     /// Answers that told peers facts, by whether these were all or only changes.
-    pub facts_told: Family<OfKind, Counter>,
+    pub facts_told: Family<KindLabel, Counter>,
     /// The bytes of these.
-    pub facts_bytes: Family<OfKind, Counter>,
+    pub facts_bytes: Family<KindLabel, Counter>,
     /// Steps of roll-outs that this node decided on, by phase.
-    pub rollout_steps: Family<OfKind, Counter>,
+    pub rollout_steps: Family<KindLabel, Counter>,
     /// Sends that ended in trials of versions, as this node counted them, by version and end.
-    pub trial_ends: Family<OfKind, Gauge>,
+    pub trial_ends: Family<KindLabel, Gauge>,
     /// The version of the configuration in force.
     pub configuration_version: Gauge,
     /// Seconds since the store was last heard.
@@ -152,7 +152,7 @@
     }
 }
 
-impl OfKind {
+impl KindLabel {
     /// One kind.
     pub fn new(kind: &'static str) -> Self {
         Self { kind }
--- a/crates/sassafrasproxy-gateway/src/peers.rs
+++ b/crates/sassafrasproxy-gateway/src/peer_gossip.rs
@@ -6,7 +6,7 @@
 
 use ecow::eco_format;
 use sassafrasproxy_core::{
-    CrashReport, DiscoveryEvent, GossipPolicy, MAX_DATAGRAM_BYTES, PeerDatagram, PeerSend,
+    CrashReport, DiscoveryEvent, GossipPolicy, MAX_DATAGRAM_BYTES, OutgoingDatagram, PeerDatagram,
     TrialReport,
 };
 use tokio::net::UdpSocket;
@@ -17,17 +17,17 @@
 use crate::rollouts;
 
 /// Reports of replicas that died under requests, from and to the traffic thread.
-pub struct Crashes {
-    pub seen: mpsc::UnboundedReceiver<CrashReport>,
-    pub heard: mpsc::UnboundedSender<CrashReport>,
+pub struct CrashChannels {
+    pub local: mpsc::UnboundedReceiver<CrashReport>,
+    pub from_peers: mpsc::UnboundedSender<CrashReport>,
 }
 
 /// What goes to peers while a version is on trial.
-pub struct Trials {
+pub struct TrialChannels {
     /// What the traffic thread has counted.
-    pub counted: mpsc::UnboundedReceiver<Vec<TrialReport>>,
+    pub local_reports: mpsc::UnboundedReceiver<Vec<TrialReport>>,
     /// Roll-outs that this node stops, by the store's revision of their orders.
-    pub stops: mpsc::UnboundedReceiver<u64>,
+    pub stopped_orders: mpsc::UnboundedReceiver<u64>,
 }
 
 /// Sends and hears heartbeats until the process ends.
@@ -35,10 +35,10 @@
     state: Rc<ControlState>,
     socket: UdpSocket,
     mut leaving: watch::Receiver<bool>,
-    mut crashes: Crashes,
-    mut trials: Trials,
+    mut crashes: CrashChannels,
+    mut trials: TrialChannels,
 ) {
-    let mut ticks = interval(Duration::from_micros(GossipPolicy::default().tick_us));
+    let mut ticks = interval(Duration::from_micros(GossipPolicy::default().tick_interval_us));
     ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
     // One byte more shows a datagram that is too long: it cannot be read then.
     let mut buffer = vec![0; MAX_DATAGRAM_BYTES + 1];
@@ -47,40 +47,40 @@
         let sends = tokio::select! {
             _ = ticks.tick() => {
                 let mut gossip = state.gossip.borrow_mut();
-                ticks.reset_after(Duration::from_micros(gossip.tick_in_us(now_us)));
+                ticks.reset_after(Duration::from_micros(gossip.tick_delay_us(now_us)));
                 gossip.tick(now_us)
             }
             received = socket.recv_from(&mut buffer) => match received {
-                Ok((length, from)) => hear(&state, &buffer[..length], from, &crashes.heard),
+                Ok((length, from)) => handle_datagram(&state, &buffer[..length], from, &crashes.from_peers),
                 // An earlier datagram came back as refused; the member's silence will tell.
                 Err(error) => {
                     log::debug!(error:%; "a datagram failed");
                     Vec::new()
                 }
             },
-            Some(report) = crashes.seen.recv() => {
+            Some(report) = crashes.local.recv() => {
                 state.gossip.borrow_mut().report_crash(now_us, report)
             }
-            Some(reports) = trials.counted.recv() => rollouts::take_own(&state, reports),
-            Some(order_revision) = trials.stops.recv() => {
-                state.gossip.borrow_mut().stop_rollout(now_us, order_revision)
+            Some(reports) = trials.local_reports.recv() => rollouts::report_local_trials(&state, reports),
+            Some(order_revision) = trials.stopped_orders.recv() => {
+                state.gossip.borrow_mut().announce_rollout_stop(now_us, order_revision)
             }
             Ok(()) = leaving.changed() => state.gossip.borrow_mut().leave(now_us),
         };
         for send in sends {
-            deliver(&state, &socket, &send).await;
+            send_datagram(&state, &socket, &send).await;
         }
-        state.publish();
+        state.publish_members();
     }
 }
 
 /// Takes a datagram in, and returns what to send.
-fn hear(
+fn handle_datagram(
     state: &ControlState,
     bytes: &[u8],
     from: SocketAddr,
     crashes: &mpsc::UnboundedSender<CrashReport>,
-) -> Vec<PeerSend> {
+) -> Vec<OutgoingDatagram> {
     let datagram = match PeerDatagram::decode(bytes) {
         Ok(datagram) => datagram,
         Err(error) => {
@@ -88,20 +88,20 @@
             return Vec::new();
         }
     };
-    for report in &datagram.crashes {
+    for report in &datagram.crash_reports {
         // Without a traffic thread the process is ending.
         let _ = crashes.send(*report);
     }
-    rollouts::take_peers(state, &datagram.from.node, &datagram.trials);
+    rollouts::record_peer_trials(state, &datagram.sender.node, &datagram.trial_reports);
     for &order_revision in &datagram.stopped_rollouts {
-        state.discover([DiscoveryEvent::RolloutStopped { order_revision }]);
+        state.apply_events([DiscoveryEvent::RolloutStopped { order_revision }]);
     }
     let now_us = state.clock.now_us();
-    state.gossip.borrow_mut().hear(now_us, &eco_format!("{from}"), &datagram)
+    state.gossip.borrow_mut().receive(now_us, &eco_format!("{from}"), &datagram)
 }
 
 /// Sends a datagram; one that is lost is as good as one not sent.
-async fn deliver(state: &ControlState, socket: &UdpSocket, send: &PeerSend) {
+async fn send_datagram(state: &ControlState, socket: &UdpSocket, send: &OutgoingDatagram) {
     let bytes = match send.datagram.encode() {
         Ok(bytes) => bytes,
         Err(error) => return log::error!(error:%; "a heartbeat cannot be written"),
--- a/crates/sassafrasproxy-gateway/src/register.rs
+++ b/crates/sassafrasproxy-gateway/src/registration.rs
@@ -4,12 +4,14 @@
 use std::time::Duration;
 
 use sassafrasproxy_core::NodeRegistration;
-use sassafrasproxy_platform::{StoreCall, StoreError, decode_lease, decode_write, own_key};
+use sassafrasproxy_platform::{
+    StoreError, StoreRequest, decode_lease, decode_write_status, node_key,
+};
 use sassafrasproxy_wire::{MemberState, MemberUpdate};
 use tokio::time::sleep;
 
-use crate::control::{CALL_LIMIT, ControlState};
-use crate::http_client::KeptClient;
+use crate::control::{CALL_TIMEOUT, ControlState};
+use crate::http_client::PersistentClient;
 
 /// How long a registration lasts without being renewed, in milliseconds.
 ///
@@ -20,18 +22,18 @@
 const RENEW_INTERVAL: Duration = Duration::from_secs(10);
 
 /// The pause before a registration that failed is tried again.
-const REGISTER_PAUSE: Duration = Duration::from_millis(700);
+const REGISTER_RETRY_DELAY: Duration = Duration::from_millis(700);
 
 /// How often a node that need not be registered looks whether that has changed.
-const LOOK_INTERVAL: Duration = Duration::from_millis(500);
+const ROLE_CHECK_INTERVAL: Duration = Duration::from_millis(500);
 
 /// Keeps this node registered if it is one of the few that are, also after its entry was taken away.
 pub async fn keep_registered(state: Rc<ControlState>, me: MemberUpdate) {
-    let mut client = KeptClient::new(state.settings().store);
+    let mut client = PersistentClient::new(state.settings().store);
     let mut lease = None;
     loop {
-        if lease.is_none() && !state.gossip.borrow().is_registrar(state.clock.now_us()) {
-            sleep(LOOK_INTERVAL).await;
+        if lease.is_none() && !state.gossip.borrow().should_register(state.clock.now_us()) {
+            sleep(ROLE_CHECK_INTERVAL).await;
             continue;
         }
         let is_there = state.discovery.borrow().is_registered(&me.node);
@@ -43,38 +45,39 @@
                 ("register", registered.map(|id| lease = Some(id)))
             }
         };
-        state.count_call(call, result.as_ref().err());
+        state.count_store_call(call, result.as_ref().err());
         let pause = match result {
             Ok(()) => RENEW_INTERVAL,
             Err(error) => {
                 log::info!(error:%; "this node's registration failed");
                 lease = None;
-                REGISTER_PAUSE.mul_f64(1.0 + rand::random::<f64>())
+                REGISTER_RETRY_DELAY.mul_f64(1.0 + rand::random::<f64>())
             }
         };
         sleep(pause).await;
     }
 }
 
-async fn renew(client: &mut KeptClient, lease: u64) -> Result<(), StoreError> {
-    let (status, _) = client.call(StoreCall::renew(lease), CALL_LIMIT).await?;
-    decode_write(status)
+async fn renew(client: &mut PersistentClient, lease: u64) -> Result<(), StoreError> {
+    let (status, _) = client.call(StoreRequest::renew_lease(lease), CALL_TIMEOUT).await?;
+    decode_write_status(status)
 }
 
 /// Registers this node under a new lease.
 async fn register(
-    client: &mut KeptClient,
+    client: &mut PersistentClient,
     me: &MemberUpdate,
     node_count: u32,
 ) -> Result<u64, StoreError> {
-    let (status, body) = client.call(StoreCall::grant(REGISTRATION_TTL_MS), CALL_LIMIT).await?;
+    let (status, body) =
+        client.call(StoreRequest::grant_lease(REGISTRATION_TTL_MS), CALL_TIMEOUT).await?;
     let lease = decode_lease(status, &body)?.id;
     let member = MemberUpdate { state: MemberState::Alive, ..me.clone() };
     let value = serde_json::to_vec(&NodeRegistration { member, node_count });
     let value =
-        value.map_err(|error| StoreError::Garbled { detail: ecow::eco_format!("{error}") })?;
-    let put = StoreCall::put(&own_key(&me.node), &value, lease);
-    let (status, _) = client.call(put, CALL_LIMIT).await?;
-    decode_write(status)?;
+        value.map_err(|error| StoreError::Malformed { detail: ecow::eco_format!("{error}") })?;
+    let put = StoreRequest::put(&node_key(&me.node), &value, lease);
+    let (status, _) = client.call(put, CALL_TIMEOUT).await?;
+    decode_write_status(status)?;
     Ok(lease)
 }
--- a/crates/sassafrasproxy-gateway/src/relays.rs
+++ b/crates/sassafrasproxy-gateway/src/relay_pool.rs
@@ -21,60 +21,60 @@
 use tokio_util::codec::{Framed, LengthDelimitedCodec};
 
 /// How long a connection to a relay may take: some round trips between failure domains.
-const CONNECT_LIMIT: Duration = Duration::from_millis(100);
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(100);
 
 /// How many asks a relay may have of this node at once; far above what a node serves at once.
-const MAX_ASKS: u32 = 1_000;
+const MAX_CALLS_PER_RELAY: u32 = 1_000;
 
 /// All relays that this node may ask, and its connections to them.
-pub struct Relays {
+pub struct RelayPool {
     /// Each relay as a replica of the failure domain that it is in.
     pool: RefCell<UpstreamPool>,
     addresses: RefCell<IndexMap<EcoString, SocketAddr>>,
     /// By failure domain, how much of a core its largest node has, in thousandths.
-    largest: RefCell<IndexMap<EcoString, u32>>,
-    links: RefCell<IndexMap<EcoString, Link>>,
+    largest_cpu_by_domain: RefCell<IndexMap<EcoString, u32>>,
+    connections: RefCell<IndexMap<EcoString, RelayConnection>>,
     next_id: Cell<u64>,
 }
 
 /// A connection to a relay.
 #[derive(Clone)]
-struct Link {
+struct RelayConnection {
     requests: mpsc::UnboundedSender<RelayRequest>,
-    asks: Rc<RefCell<IndexMap<u64, mpsc::UnboundedSender<RelayReply>>>>,
+    pending_calls: Rc<RefCell<IndexMap<u64, mpsc::UnboundedSender<RelayReply>>>>,
 }
 
 /// An ask under way; cancelled when dropped before its last reply.
-pub struct RelayedAsk {
+pub struct PendingRelayCall {
     id: u64,
-    link: Link,
+    connection: RelayConnection,
     replies: mpsc::UnboundedReceiver<RelayReply>,
-    is_over: bool,
+    is_finished: bool,
 }
 
-impl RelayedAsk {
+impl PendingRelayCall {
     /// The next reply; `None` once the connection has ended.
-    pub async fn next(&mut self) -> Option<RelayReply> {
+    pub async fn next_reply(&mut self) -> Option<RelayReply> {
         self.replies.recv().await
     }
 
     /// Notes that the last reply has come.
     pub fn finish(&mut self) {
-        self.is_over = true;
+        self.is_finished = true;
     }
 }
 
-impl Drop for RelayedAsk {
+impl Drop for PendingRelayCall {
     fn drop(&mut self) {
-        self.link.asks.borrow_mut().swap_remove(&self.id);
-        if !self.is_over {
+        self.connection.pending_calls.borrow_mut().swap_remove(&self.id);
+        if !self.is_finished {
             // A connection that has ended has ended its asks.
-            let _ = self.link.requests.send(RelayRequest::Cancel { id: self.id });
+            let _ = self.connection.requests.send(RelayRequest::Cancel { id: self.id });
         }
     }
 }
 
-impl Relays {
+impl RelayPool {
     /// No relays yet.
     pub fn new(settings: &GatewaySettings) -> Self {
         let pool = PoolSettings {
@@ -85,8 +85,8 @@
         Self {
             pool: RefCell::new(UpstreamPool::new(pool)),
             addresses: RefCell::default(),
-            largest: RefCell::default(),
-            links: RefCell::default(),
+            largest_cpu_by_domain: RefCell::default(),
+            connections: RefCell::default(),
             next_id: Cell::new(1),
         }
     }
@@ -116,18 +116,22 @@
                 version: EcoString::new(),
                 address,
                 failure_domain: node.failure_domain.clone(),
-                slots: MAX_ASKS,
+                slots: MAX_CALLS_PER_RELAY,
                 is_draining: false,
                 cold_for_ms: 0,
             };
-            let replica = CatalogueReplica::open(entry, now_us);
+            let replica = CatalogueReplica::eligible(entry, now_us);
             catalogue.replicas.insert(node.relay_address.clone(), replica);
             addresses.insert(node.relay_address.clone(), address);
         }
-        self.pool.borrow_mut().update_unlimited(now_us, &catalogue, MAX_ASKS as usize);
-        self.links.borrow_mut().retain(|relay, _| addresses.contains_key(relay));
+        self.pool.borrow_mut().update_with_in_flight_limit(
+            now_us,
+            &catalogue,
+            MAX_CALLS_PER_RELAY as usize,
+        );
+        self.connections.borrow_mut().retain(|relay, _| addresses.contains_key(relay));
         self.addresses.replace(addresses);
-        self.largest.replace(largest);
+        self.largest_cpu_by_domain.replace(largest);
     }
 
     /// Whether a failure domain has a relay.
@@ -136,17 +140,17 @@
     }
 
     /// How many relays a failure domain has.
-    pub fn count(&self, domain: &str) -> usize {
+    pub fn relay_count(&self, domain: &str) -> usize {
         self.pool.borrow().replica_count(domain)
     }
 
     /// How much of a core the largest node of a failure domain has, in thousandths.
-    pub fn cpu_millis(&self, domain: &str) -> u32 {
-        self.largest.borrow().get(domain).copied().unwrap_or(0)
+    pub fn largest_cpu_millis(&self, domain: &str) -> u32 {
+        self.largest_cpu_by_domain.borrow().get(domain).copied().unwrap_or(0)
     }
 
     /// The relays of a failure domain that will probably answer first, as far as any can be asked.
-    pub fn pick(
+    pub fn pick_relays(
         &self,
         domain: &str,
         now_us: u64,
@@ -163,69 +167,73 @@
     }
 
     /// Notes an ask of a relay.
-    pub fn start(
+    pub fn start_call(
         &self,
         relay: &str,
         now_us: u64,
         expected_us: u64,
         patience_us: u64,
     ) -> Option<SendId> {
-        self.pool.borrow_mut().start(relay, now_us, expected_us, patience_us)
+        self.pool.borrow_mut().start_send(relay, now_us, expected_us, patience_us)
     }
 
     /// Notes that a relay replied with some of the parts.
-    pub fn note_heard(&self, relay: &str, now_us: u64) {
-        self.pool.borrow_mut().note_heard(relay, now_us);
+    pub fn record_reply(&self, relay: &str, now_us: u64) {
+        self.pool.borrow_mut().record_activity(relay, now_us);
     }
 
     /// Notes the end of an ask of a relay; a lost one drops the connection.
     ///
     /// Guards against a connection that went silent: the next ask makes a new one.
-    pub fn finish(&self, relay: &str, send: SendId, now_us: u64, outcome: SendOutcome) {
-        self.pool.borrow_mut().finish(relay, send, now_us, outcome, None);
+    pub fn finish_call(&self, relay: &str, send: SendId, now_us: u64, outcome: SendOutcome) {
+        self.pool.borrow_mut().finish_send(relay, send, now_us, outcome, None);
         if outcome != SendOutcome::Answered && outcome != SendOutcome::Cancelled {
-            self.links.borrow_mut().swap_remove(relay);
+            self.connections.borrow_mut().swap_remove(relay);
         }
     }
 
     /// Sends an ask to a relay.
-    pub async fn ask(&self, relay: &EcoString, mut ask: RelayAsk) -> eyre::Result<RelayedAsk> {
-        let link = self.link(relay).await?;
+    pub async fn call(
+        &self,
+        relay: &EcoString,
+        mut ask: RelayAsk,
+    ) -> eyre::Result<PendingRelayCall> {
+        let link = self.connection(relay).await?;
         let id = self.next_id.get();
         self.next_id.set(id + 1);
         ask.id = id;
         let (sender, replies) = mpsc::unbounded_channel();
-        link.asks.borrow_mut().insert(id, sender);
+        link.pending_calls.borrow_mut().insert(id, sender);
         link.requests.send(RelayRequest::Ask(ask))?;
-        Ok(RelayedAsk { id, link, replies, is_over: false })
+        Ok(PendingRelayCall { id, connection: link, replies, is_finished: false })
     }
 
     /// The connection to a relay, made if there is none.
-    async fn link(&self, relay: &EcoString) -> eyre::Result<Link> {
-        if let Some(link) = self.links.borrow().get(relay).filter(|link| link.is_open()) {
+    async fn connection(&self, relay: &EcoString) -> eyre::Result<RelayConnection> {
+        if let Some(link) = self.connections.borrow().get(relay).filter(|link| link.is_open()) {
             return Ok(link.clone());
         }
         let address = self.addresses.borrow().get(relay).copied();
         let address = address.ok_or_else(|| eyre::eyre!("the relay is gone"))?;
-        let stream = timeout(CONNECT_LIMIT, TcpStream::connect(address)).await??;
+        let stream = timeout(CONNECT_TIMEOUT, TcpStream::connect(address)).await??;
         stream.set_nodelay(true)?;
         let (requests, waiting) = mpsc::unbounded_channel();
-        let link = Link { requests, asks: Rc::default() };
-        spawn_local(run_link(stream, waiting, link.asks.clone()));
+        let link = RelayConnection { requests, pending_calls: Rc::default() };
+        spawn_local(run_connection(stream, waiting, link.pending_calls.clone()));
         // Two requests may have connected at the same time; the later connection stays.
-        self.links.borrow_mut().insert(relay.clone(), link.clone());
+        self.connections.borrow_mut().insert(relay.clone(), link.clone());
         Ok(link)
     }
 }
 
-impl Link {
+impl RelayConnection {
     fn is_open(&self) -> bool {
         !self.requests.is_closed()
     }
 }
 
 /// Carries requests and replies until the connection ends or nobody uses it any more.
-async fn run_link(
+async fn run_connection(
     stream: TcpStream,
     mut waiting: mpsc::UnboundedReceiver<RelayRequest>,
     asks: Rc<RefCell<IndexMap<u64, mpsc::UnboundedSender<RelayReply>>>>,
--- a/crates/sassafrasproxy-gateway/src/reload.rs
+++ b/crates/sassafrasproxy-gateway/src/reload.rs
@@ -19,7 +19,7 @@
 ///
 /// A file that cannot be used leaves the settings in force. Addresses are taken at the start
 /// only: a process keeps the sockets that it has.
-pub async fn follow_file(file: PathBuf, settings: watch::Sender<Arc<GatewaySettings>>) {
+pub async fn watch_settings_file(file: PathBuf, settings: watch::Sender<Arc<GatewaySettings>>) {
     let mut hangup = match signal(SignalKind::hangup()) {
         Ok(hangup) => hangup,
         Err(error) => return log::error!(error:%; "SIGHUP cannot be heard"),
--- a/crates/sassafrasproxy-gateway/src/request.rs
+++ b/crates/sassafrasproxy-gateway/src/request.rs
@@ -8,10 +8,10 @@
 use sassafrasproxy_wire::Route;
 
 /// The part of a caller's time that is kept back for the answer's way.
-const WAY_BACK_PART: u64 = 50;
+const ANSWER_RESERVE_DIVISOR: u64 = 50;
 
 /// The least that is kept back, in milliseconds.
-const MIN_WAY_BACK_MS: u64 = 3;
+const MIN_ANSWER_RESERVE_MS: u64 = 3;
 
 /// A caller's request, read whole.
 #[derive(Debug)]
@@ -31,7 +31,7 @@
     /// When the caller stops waiting, in microseconds.
     pub deadline_us: u64,
     /// How long before the arrival the caller's time started, in microseconds.
-    pub gone_us: u64,
+    pub elapsed_before_arrival_us: u64,
     /// The hash of what the request asks.
     pub fingerprint: u64,
 }
@@ -43,7 +43,7 @@
         parts: http::request::Parts,
         body: Bytes,
         now_us: u64,
-        gone_us: u64,
+        elapsed_before_arrival_us: u64,
     ) -> Self {
         let method = parts.method.as_str();
         let fingerprint = CrashReport::fingerprint(&head.host, method, parts.uri.path(), &body);
@@ -64,26 +64,26 @@
             body,
             arrived_us: now_us,
             deadline_us,
-            gone_us,
+            elapsed_before_arrival_us,
             fingerprint,
         }
     }
 
     /// When the caller's time started, in microseconds.
     pub fn started_us(&self) -> u64 {
-        self.arrived_us.saturating_sub(self.gone_us)
+        self.arrived_us.saturating_sub(self.elapsed_before_arrival_us)
     }
 
     /// When the route's latency goal is over, in microseconds.
-    pub fn goal_us(&self, route: &Route) -> u64 {
+    pub fn goal_deadline_us(&self, route: &Route) -> u64 {
         self.started_us().saturating_add(route.goal_ms * US_PER_MS)
     }
 
     /// When the caller must have its final answer on the way, in microseconds.
-    pub fn end_us(&self, route: &Route) -> u64 {
+    pub fn answer_deadline_us(&self, route: &Route) -> u64 {
         let timeout_us = self.arrived_us.saturating_add(route.timeout_ms * US_PER_MS);
         let wait_us = self.deadline_us.saturating_sub(self.arrived_us);
-        let back_us = (wait_us / WAY_BACK_PART).max(MIN_WAY_BACK_MS * US_PER_MS);
+        let back_us = (wait_us / ANSWER_RESERVE_DIVISOR).max(MIN_ANSWER_RESERVE_MS * US_PER_MS);
         timeout_us.min(self.deadline_us.saturating_sub(back_us))
     }
 }
--- a/crates/sassafrasproxy-gateway/src/view.rs
+++ b/crates/sassafrasproxy-gateway/src/view.rs
@@ -12,5 +12,5 @@
     /// All nodes that are not dead.
     pub nodes: Arc<Vec<DirectoryNode>>,
     /// How many nodes there are by the registrations in the store.
-    pub registered: usize,
+    pub registered_node_count: usize,
 }
--- a/crates/sassafrasproxy-node/src/claims.rs
+++ b/crates/sassafrasproxy-node/src/claims.rs
@@ -6,7 +6,7 @@
 use indexmap::IndexMap;
 use sassafrasproxy_clock::wall_ms;
 use sassafrasproxy_core::{
-    ClaimBucket, ClaimEffect, ClaimEvent, StoreCall, StoreResult, Ticket, bucket_of,
+    ClaimBucket, ClaimEffect, ClaimEvent, ClaimId, StoreCall, StoreResult, claim_bucket_of,
 };
 use sassafrasproxy_wire::{ClaimAnswer, ClaimRequest, Ending, RecordRequest};
 use tokio::sync::{mpsc, oneshot};
@@ -70,14 +70,14 @@
     /// Claims a key in this node's own bucket.
     pub async fn claim_here(&self, shared: &Arc<Shared>, request: ClaimRequest) -> ClaimAnswer {
         let (reply, answer) = oneshot::channel();
-        let bucket = self.bucket(shared, bucket_of(&request.key));
+        let bucket = self.bucket(shared, claim_bucket_of(&request.key));
         let _ = bucket.send(BucketInput::Claim { request, reply });
         answer.await.unwrap_or(ClaimAnswer::Unavailable)
     }
 
     /// Records what became of a request in this node's own bucket.
     pub fn record_here(&self, shared: &Arc<Shared>, request: RecordRequest) {
-        let bucket = self.bucket(shared, bucket_of(&request.key));
+        let bucket = self.bucket(shared, claim_bucket_of(&request.key));
         let _ = bucket.send(BucketInput::Record(request));
     }
 
@@ -91,7 +91,8 @@
 /// The peer address of a key's home, unless that is this node.
 fn home_address(shared: &Shared, key: &str) -> Option<EcoString> {
     let view = shared.view.load();
-    let home = view.claim_home(bucket_of(key)).filter(|home| **home != view.me)?;
+    let home =
+        view.claim_bucket_home(claim_bucket_of(key)).filter(|home| **home != view.local_node)?;
     view.members.get(home).map(|member| member.peer_address.clone())
 }
 
@@ -120,14 +121,14 @@
     shared: Arc<Shared>,
     bucket: ClaimBucket,
     sender: mpsc::UnboundedSender<BucketInput>,
-    replies: IndexMap<Ticket, oneshot::Sender<ClaimAnswer>>,
+    replies: IndexMap<ClaimId, oneshot::Sender<ClaimAnswer>>,
     next_ticket: u64,
 }
 
 impl BucketTask {
     async fn run(mut self, mut inputs: mpsc::UnboundedReceiver<BucketInput>) {
         loop {
-            let wake_us = self.bucket.wake_us().unwrap_or(u64::MAX >> 20);
+            let wake_us = self.bucket.next_timer_us().unwrap_or(u64::MAX >> 20);
             tokio::select! {
                 input = inputs.recv() => match input {
                     None => return,
@@ -144,12 +145,12 @@
         match input {
             BucketInput::Claim { request, reply } => {
                 self.next_ticket += 1;
-                let ticket = Ticket(self.next_ticket);
+                let ticket = ClaimId(self.next_ticket);
                 self.replies.insert(ticket, reply);
-                self.step(ClaimEvent::Claim { ticket, request });
+                self.step(ClaimEvent::Claim { claim_id: ticket, request });
             }
-            BucketInput::Record(request) => self.step(ClaimEvent::Record(request)),
-            BucketInput::Called(result) => self.step(ClaimEvent::Called(result)),
+            BucketInput::Record(request) => self.step(ClaimEvent::RecordEnding(request)),
+            BucketInput::Called(result) => self.step(ClaimEvent::CallFinished(result)),
         }
     }
 
@@ -162,7 +163,7 @@
                         let _ = sender.send(BucketInput::Called(run(&platform, call).await));
                     });
                 }
-                ClaimEffect::Answer { ticket, answer } => {
+                ClaimEffect::Answer { claim_id: ticket, answer } => {
                     if let Some(reply) = self.replies.swap_remove(&ticket) {
                         let _ = reply.send(answer);
                     }
@@ -190,7 +191,7 @@
             Ok(None) => StoreResult::Absent,
             Err(_) => StoreResult::Failed,
         },
-        StoreCall::Write { key, text } => match platform.write(&key, &text, 0).await {
+        StoreCall::Write { key, value: text } => match platform.write(&key, &text, 0).await {
             Ok(_) => StoreResult::Written,
             Err(PlatformError::Conflict { .. }) => StoreResult::Conflict,
             Err(_) => StoreResult::Failed,
--- a/crates/sassafrasproxy-node/src/control.rs
+++ b/crates/sassafrasproxy-node/src/control.rs
@@ -6,7 +6,7 @@
 use ecow::EcoString;
 use indexmap::IndexMap;
 use sassafrasproxy_config::{HEAD_KEY, assemble, read_head};
-use sassafrasproxy_core::{Control, ControlEffect, ControlEvent, Member};
+use sassafrasproxy_core::{ControlEffect, ControlEvent, ControlPlane, Member};
 use sassafrasproxy_wire::{
     ConfigurationHead, ConfigurationRequest, Heartbeat, MemberStatus, NodeHoldings,
     PeerConfiguration, ProbeFor,
@@ -58,7 +58,7 @@
 
 /// The control thread's state.
 pub struct ControlThread {
-    control: Control,
+    control: ControlPlane,
     shared: Arc<Shared>,
     platform: PlatformClient,
     /// Where I/O runs, apart from this thread.
@@ -72,7 +72,7 @@
 impl ControlThread {
     /// Starts the thread; it ends with [`ControlInput::Stop`].
     pub fn start(
-        control: Control,
+        control: ControlPlane,
         shared: Arc<Shared>,
         platform: PlatformClient,
         inputs: mpsc::UnboundedReceiver<ControlInput>,
@@ -90,7 +90,7 @@
 
     /// Takes inputs in until the node ends.
     async fn run(mut self, mut inputs: mpsc::UnboundedReceiver<ControlInput>) {
-        let period = Duration::from_micros(self.shared.tuning.control.heartbeat_us);
+        let period = Duration::from_micros(self.shared.tuning.control.heartbeat_interval_us);
         let mut tick = tokio::time::interval(period);
         tick.set_missed_tick_behavior(MissedTickBehavior::Delay);
         loop {
@@ -107,7 +107,7 @@
     fn take(&mut self, input: ControlInput) {
         match input {
             ControlInput::Event(event) => {
-                if let ControlEvent::HeartbeatHeard(heartbeat) = &event {
+                if let ControlEvent::HeartbeatReceived(heartbeat) = &event {
                     self.shared.events.hear(heartbeat.hlc);
                 }
                 self.step(event);
@@ -117,14 +117,14 @@
                 let stamp = self.shared.events.stamp();
                 let answer = self.control.heartbeat(stamp, Some(&heartbeat));
                 let _ = reply.send(answer);
-                self.step(ControlEvent::HeartbeatHeard(heartbeat));
+                self.step(ControlEvent::HeartbeatReceived(heartbeat));
             }
             ControlInput::Read { head, chunks } => self.take_configuration(head, chunks),
             ControlInput::Configuration { request, reply } => {
                 let _ = reply.send(self.peer_configuration(&request));
             }
             ControlInput::OwnHoldings { reply } => {
-                let _ = reply.send(self.control.own_holdings());
+                let _ = reply.send(self.control.local_holdings());
             }
             ControlInput::Status { reply } => {
                 let _ = reply.send(self.status());
@@ -148,7 +148,7 @@
             Ok(configuration) => {
                 self.chunks.retain(|name, _| head.chunks.contains(name));
                 self.head = Some(head);
-                self.step(ControlEvent::ConfigurationSeen(configuration));
+                self.step(ControlEvent::ConfigurationReceived(configuration));
             }
             Err(error) if error.is_final() => {
                 let (revision, detail) = (head.revision, ecow::eco_format!("{error}"));
@@ -179,13 +179,13 @@
             state: ecow::eco_format!("{:?}", member.state).to_lowercase(),
             revision: revision_of(member),
         });
-        let rejected = self.control.rejected().map(|(_, detail)| detail.clone());
+        let rejected = self.control.rejected_revision().map(|(_, detail)| detail.clone());
         ControlStatus { members: members.collect(), rejected_revision: rejected }
     }
 
     fn step(&mut self, event: ControlEvent) {
         let effects = self.control.step(self.shared.clock.now_us(), event);
-        let is_changed = effects.contains(&ControlEffect::Publish);
+        let is_changed = effects.contains(&ControlEffect::PublishView);
         if is_changed {
             let view = Arc::new(self.control.view());
             self.shared.view.store(view.clone());
@@ -200,19 +200,21 @@
     fn carry_out(&mut self, effect: ControlEffect) {
         match effect {
             ControlEffect::Probe { peer_address } => self.probe(peer_address),
-            ControlEffect::ProbeVia { vias, peer_address } => self.probe_via(vias, peer_address),
+            ControlEffect::ProbeIndirectly { via_peer_addresses: vias, peer_address } => {
+                self.probe_via(vias, peer_address);
+            }
             ControlEffect::PullConfiguration { peer_address } => {
                 self.pull_configuration(peer_address);
             }
             ControlEffect::PullHoldings { peer_address } => self.spawn(async move |shared| {
                 if let Ok(holdings) = shared.peers.holdings(&peer_address).await {
-                    shared.tell(ControlEvent::HoldingsHeard(holdings));
+                    shared.tell(ControlEvent::HoldingsReceived(holdings));
                 }
             }),
             ControlEffect::PushHoldings { peer_addresses, holdings } => {
                 self.push_holdings(peer_addresses, holdings);
             }
-            ControlEffect::Watch { is_on } => {
+            ControlEffect::WatchStore { is_on } => {
                 self.watch.send_replace(is_on);
             }
             ControlEffect::ReadStore => {
@@ -227,12 +229,12 @@
                 let platform = self.platform.clone();
                 self.spawn(async move |shared| {
                     if let Ok(vms) = platform.vms().await {
-                        shared.tell(ControlEvent::VmList(vms));
+                        shared.tell(ControlEvent::VmListReceived(vms));
                     }
                 });
             }
-            ControlEffect::Publish => {}
-            ControlEffect::Note(kind) => self.shared.events.note(None, kind),
+            ControlEffect::PublishView => {}
+            ControlEffect::RecordEvent(kind) => self.shared.events.note(None, kind),
         }
     }
 
@@ -242,7 +244,7 @@
         self.spawn(async move |shared| {
             let sent_us = shared.clock.now_us();
             let event = match shared.peers.probe(&peer_address, &heartbeat).await {
-                Ok(answer) => ControlEvent::HeartbeatHeard(answer),
+                Ok(answer) => ControlEvent::HeartbeatReceived(answer),
                 Err(_) => ControlEvent::ProbeFailed { peer_address, sent_us, is_indirect: false },
             };
             shared.tell(event);
@@ -258,7 +260,7 @@
             let asks = vias.iter().map(|via| shared.peers.probe_for(via, &request));
             let answers = futures_util::future::join_all(asks).await;
             let event = match answers.into_iter().flatten().flatten().next() {
-                Some(answer) => ControlEvent::HeartbeatHeard(answer),
+                Some(answer) => ControlEvent::HeartbeatReceived(answer),
                 None => ControlEvent::ProbeFailed { peer_address, sent_us, is_indirect: true },
             };
             shared.tell(event);
--- a/crates/sassafrasproxy-node/src/http.rs
+++ b/crates/sassafrasproxy-node/src/http.rs
@@ -165,7 +165,7 @@
             .unwrap_or_default(),
     });
     Json(NodeStatus {
-        node: view.me.clone(),
+        node: view.local_node.clone(),
         failure_domain: http.shared.settings.failure_domain.clone(),
         leaving: view.leaving,
         revision: view.configuration.revision,
--- a/crates/sassafrasproxy-node/src/lane.rs
+++ b/crates/sassafrasproxy-node/src/lane.rs
@@ -6,8 +6,9 @@
 use ecow::{EcoString, eco_format};
 use indexmap::IndexMap;
 use sassafrasproxy_core::{
-    AttemptId, AttemptReport, AttemptResult, ControlEvent, Lane, LaneConfiguration, LaneEffect,
-    LaneEvent, LanePolicy, ReplicaSpec, StatusReport, Sub, SubKey, US_PER_MS, View,
+    AttemptId, AttemptReport, AttemptResult, ControlEvent, ReplicaSpec, Scheduler,
+    SchedulerConfiguration, SchedulerEffect, SchedulerEvent, SchedulerPolicy, StatusReport,
+    SubRequestId, SubRequestSpec, US_PER_MS, View,
 };
 use sassafrasproxy_wire::{
     Body, EventKind, GroupHoldings, HandOver, QuarantineNotice, Reason, ReplicaStatus, SubOutcome,
@@ -41,7 +42,7 @@
     /// Nobody waits for a sub-request any more.
     GiveUp { id: EcoString },
     /// An event for the reducer as it is.
-    Event(LaneEvent),
+    Event(SchedulerEvent),
     /// A send ended, with the answer's body if it was good.
     Finished { attempt: AttemptId, report: AttemptReport, body: Option<Body> },
     /// The control state changed.
@@ -65,7 +66,7 @@
     let mut task = LaneTask {
         shared: shared.clone(),
         group: group.clone(),
-        lane: Lane::new(configuration.clone()),
+        lane: Scheduler::new(configuration.clone()),
         configuration,
         is_home: false,
         sender: sender.clone(),
@@ -86,13 +87,13 @@
 struct LaneTask {
     shared: Arc<Shared>,
     group: EcoString,
-    lane: Lane,
-    configuration: LaneConfiguration,
+    lane: Scheduler,
+    configuration: SchedulerConfiguration,
     is_home: bool,
     sender: mpsc::UnboundedSender<LaneInput>,
-    subs: IndexMap<SubKey, Pending>,
+    subs: IndexMap<SubRequestId, Pending>,
     /// The key of each sub-request in `subs`, by its id.
-    keys: IndexMap<EcoString, SubKey>,
+    keys: IndexMap<EcoString, SubRequestId>,
     attempts: IndexMap<AttemptId, Running>,
     upstreams: IndexMap<EcoString, Upstream>,
     next_key: u64,
@@ -121,14 +122,14 @@
         poll.set_missed_tick_behavior(MissedTickBehavior::Delay);
         loop {
             let now_us = self.shared.clock.now_us();
-            let wake_us = self.lane.wake_us(now_us).unwrap_or(u64::MAX >> 20);
+            let wake_us = self.lane.next_timer_us(now_us).unwrap_or(u64::MAX >> 20);
             tokio::select! {
                 input = inputs.recv() => match input {
                     None | Some(LaneInput::Stop) => return,
                     Some(input) => self.take(input),
                 },
                 () = tokio::time::sleep_until(self.shared.clock.instant(wake_us)) => {
-                    self.step(LaneEvent::Timer, None);
+                    self.step(SchedulerEvent::Timer, None);
                 }
                 _ = poll.tick() => self.poll(),
             }
@@ -143,22 +144,26 @@
             LaneInput::GiveUp { id } => {
                 if let Some(key) = self.keys.swap_remove(&id) {
                     self.subs.swap_remove(&key);
-                    self.step(LaneEvent::GiveUp { sub: key }, None);
+                    self.step(SchedulerEvent::Abandon { sub_request: key }, None);
                 }
             }
             LaneInput::Event(event) => {
-                if let LaneEvent::Cancelled { attempt } = &event {
+                if let SchedulerEvent::Cancelled { attempt } = &event {
                     self.attempts.swap_remove(attempt);
                 }
                 self.step(event, None);
             }
             LaneInput::Finished { attempt, report, body } => {
                 self.attempts.swap_remove(&attempt);
-                self.step(LaneEvent::Finished { attempt, report }, body);
+                self.step(SchedulerEvent::Finished { attempt, report }, body);
             }
             LaneInput::View(view) => self.take_view(&view),
             LaneInput::Status { reply } => {
-                let _ = reply.send(if self.is_home { self.lane.status() } else { Vec::new() });
+                let _ = reply.send(if self.is_home {
+                    self.lane.replica_statuses()
+                } else {
+                    Vec::new()
+                });
             }
             LaneInput::IsIdle { reply } => {
                 let _ = reply.send(self.lane.is_idle());
@@ -170,12 +175,12 @@
     /// Gives the reducer a sub-request under a key of its own.
     fn submit(&mut self, request: SubRequest, deadline_us: u64, reply: oneshot::Sender<SubReply>) {
         self.next_key += 1;
-        let key = SubKey(self.next_key);
+        let key = SubRequestId(self.next_key);
         let view = self.shared.view.load();
         let service = view.configuration.services.get(&request.shard.service);
         let kind = service.and_then(|service| service.kinds.get(&request.kind));
-        let sub = Sub {
-            key,
+        let sub = SubRequestSpec {
+            id: key,
             shard: request.shard.shard.clone(),
             snapshot: request.snapshot,
             is_idempotent: kind.is_some_and(|kind| kind.idempotent),
@@ -187,7 +192,7 @@
         self.last_submit_us = self.shared.clock.now_us();
         self.keys.insert(request.id.clone(), key);
         self.subs.insert(key, Pending { request, deadline_us, reply });
-        self.step(LaneEvent::Submit(sub), None);
+        self.step(SchedulerEvent::Submit(sub), None);
     }
 
     /// Takes a changed view in.
@@ -200,7 +205,7 @@
             self.upstreams.retain(|address, _| {
                 configuration.replicas.iter().any(|replica| replica.address == *address)
             });
-            self.step(LaneEvent::Reconfigure(configuration), None);
+            self.step(SchedulerEvent::Reconfigure(configuration), None);
         }
         let is_home = view.is_home(&self.group);
         if is_home == self.is_home {
@@ -211,14 +216,14 @@
             let kind = EventKind::HomeGained { group: self.group.clone() };
             self.shared.events.note(None, kind);
             let control = &self.shared.tuning.control;
-            let view_skew_us = if control.is_direct { 0 } else { control.view_skew_us() };
-            self.step(LaneEvent::BecomeHome { view_skew_us }, None);
+            let view_skew_us = if control.bypasses_homes { 0 } else { control.view_skew_us() };
+            self.step(SchedulerEvent::BecomeHome { view_skew_us }, None);
             self.poll();
         } else {
             let to = view.home(&self.group).cloned();
             let kind = EventKind::HomeLost { group: self.group.clone(), to };
             self.shared.events.note(None, kind);
-            self.step(LaneEvent::LoseHome { me: view.me.clone() }, None);
+            self.step(SchedulerEvent::LoseHome { local_node: view.local_node.clone() }, None);
         }
     }
 
@@ -231,7 +236,7 @@
         self.polls += 1;
         let is_full_poll = self.polls % STATUS_EVERY == 1;
         let is_due = |replica: &ReplicaStatus| is_full_poll || replica.phase == "down";
-        let replicas = self.lane.status().into_iter().filter(is_due);
+        let replicas = self.lane.replica_statuses().into_iter().filter(is_due);
         let addresses: Vec<EcoString> = replicas.map(|replica| replica.address).collect();
         for address in addresses {
             let upstream = self.upstream(&address).clone();
@@ -249,47 +254,47 @@
         let sender = self.sender.clone();
         tokio::spawn(async move {
             let report = read.await;
-            let event = LaneEvent::Status { replica, probe, report };
+            let event = SchedulerEvent::Status { replica, probe_id: probe, report };
             let _ = sender.send(LaneInput::Event(event));
         });
     }
 
     /// Steps the reducer and carries its effects out; `body` belongs to a send that just ended.
-    fn step(&mut self, event: LaneEvent, body: Option<Body>) {
+    fn step(&mut self, event: SchedulerEvent, body: Option<Body>) {
         let now_us = self.shared.clock.now_us();
         let effects = self.lane.step(now_us, event);
         let mut body = body;
-        let is_changed = effects.contains(&LaneEffect::Publish);
+        let is_changed = effects.contains(&SchedulerEffect::PublishHoldings);
         for effect in effects {
             self.carry_out(effect, &mut body);
         }
-        if is_changed && self.is_home && self.lane.has_heard_all() {
+        if is_changed && self.is_home && self.lane.has_all_statuses() {
             let holdings = self.holdings();
-            self.shared.tell(ControlEvent::OwnHoldings(holdings));
+            self.shared.tell(ControlEvent::LocalHoldings(holdings));
         }
     }
 
-    fn carry_out(&mut self, effect: LaneEffect, body: &mut Option<Body>) {
+    fn carry_out(&mut self, effect: SchedulerEffect, body: &mut Option<Body>) {
         match effect {
-            LaneEffect::Send { attempt, sub, replica } => {
+            SchedulerEffect::Send { attempt, sub_request: sub, replica } => {
                 self.send(attempt, sub, replica);
             }
-            LaneEffect::Cancel { attempt } => self.cancel(attempt),
-            LaneEffect::Reply { sub, outcome, attempt } => {
+            SchedulerEffect::Cancel { attempt } => self.cancel(attempt),
+            SchedulerEffect::Reply { sub_request: sub, outcome, attempt } => {
                 let body = if attempt.is_some() { body.take() } else { None };
                 self.reply(sub, outcome, body);
             }
-            LaneEffect::Condemn { replica } => self.upstream(&replica).condemn(),
-            LaneEffect::Probe { replica, number } => {
+            SchedulerEffect::RetireConnections { replica } => self.upstream(&replica).condemn(),
+            SchedulerEffect::Probe { replica, probe_id: number } => {
                 let upstream = self.upstream(&replica).clone();
                 self.report_status(replica, Some(number), async move { upstream.probe().await });
             }
-            LaneEffect::Quarantined { fingerprint, ttl_us } => {
+            SchedulerEffect::AnnounceQuarantine { fingerprint, ttl_us } => {
                 self.spread_quarantine(fingerprint, ttl_us);
             }
-            LaneEffect::HandOver(given) => self.hand_over(given),
-            LaneEffect::Publish => {}
-            LaneEffect::Note { sub, kind } => {
+            SchedulerEffect::SendHandOver(given) => self.hand_over(given),
+            SchedulerEffect::PublishHoldings => {}
+            SchedulerEffect::RecordEvent { sub_request: sub, kind } => {
                 match &kind {
                     EventKind::Hedged { .. } => self.shared.metrics.extra_send("hedge"),
                     EventKind::Retried { .. } => self.shared.metrics.extra_send("retry"),
@@ -303,7 +308,7 @@
     }
 
     /// Sends a sub-request in a task of its own.
-    fn send(&mut self, attempt: AttemptId, sub: SubKey, replica: EcoString) {
+    fn send(&mut self, attempt: AttemptId, sub: SubRequestId, replica: EcoString) {
         let upstream = self.upstream(&replica).clone();
         let Some(pending) = self.subs.get(&sub) else {
             let report = AttemptResult::NotSent.into();
@@ -342,13 +347,13 @@
             // Without a confirmation the send's own end, at its deadline, frees the slot.
             if upstream.cancel(&id).await {
                 abort.abort();
-                let _ = sender.send(LaneInput::Event(LaneEvent::Cancelled { attempt }));
+                let _ = sender.send(LaneInput::Event(SchedulerEvent::Cancelled { attempt }));
             }
         });
     }
 
     /// Answers a sub-request; corrects the asker's picture where that was the trouble.
-    fn reply(&mut self, sub: SubKey, outcome: SubOutcome, body: Option<Body>) {
+    fn reply(&mut self, sub: SubRequestId, outcome: SubOutcome, body: Option<Body>) {
         let Some(pending) = self.subs.swap_remove(&sub) else { return };
         self.keys.swap_remove(&pending.request.id);
         let is_old = matches!(
@@ -356,7 +361,7 @@
             SubOutcome::NotRun { reason: Reason::NotHeld | Reason::NoReplica, .. }
         );
         let holdings =
-            (is_old && self.is_home && self.lane.has_heard_all()).then(|| self.holdings());
+            (is_old && self.is_home && self.lane.has_all_statuses()).then(|| self.holdings());
         let _ = pending.reply.send(SubReply { outcome, holdings, body });
     }
 
@@ -368,10 +373,10 @@
 
     /// Tells the other lanes and nodes that a request crashes upstreams.
     fn spread_quarantine(&self, fingerprint: u64, ttl_us: u64) {
-        self.shared.lanes.tell_all(&LaneEvent::Quarantine { fingerprint, ttl_us });
+        self.shared.lanes.tell_all(&SchedulerEvent::Quarantine { fingerprint, ttl_us });
         let notice = QuarantineNotice { fingerprint, ttl_ms: ttl_us / US_PER_MS };
         let view = self.shared.view.load_full();
-        for member in view.members.values().filter(|member| member.node != view.me) {
+        for member in view.members.values().filter(|member| member.node != view.local_node) {
             let (shared, notice) = (self.shared.clone(), notice.clone());
             let address = member.peer_address.clone();
             tokio::spawn(async move { shared.peers.quarantine(&address, &notice).await });
@@ -384,7 +389,7 @@
         tokio::spawn(async move {
             for _ in 0..HAND_OVER_TRIES {
                 let view = shared.view.load_full();
-                let home = view.home(&given.group).filter(|home| **home != view.me);
+                let home = view.home(&given.group).filter(|home| **home != view.local_node);
                 let Some(address) = home.and_then(|home| shared.peer_address(home)) else { return };
                 if shared.peers.hand_over(&address, &given).await.is_ok() {
                     return;
@@ -406,7 +411,7 @@
 }
 
 /// What a group's lane serves, by the view.
-fn lane_configuration(shared: &Shared, view: &View, group: &str) -> Option<LaneConfiguration> {
+fn lane_configuration(shared: &Shared, view: &View, group: &str) -> Option<SchedulerConfiguration> {
     let group = view.groups.group(group)?;
     let replicas = group.replicas.iter().map(|replica| ReplicaSpec {
         address: replica.address.clone(),
@@ -415,16 +420,16 @@
     });
     let is_ours =
         |address: &&EcoString| group.replicas.iter().any(|replica| replica.address == **address);
-    Some(LaneConfiguration {
+    Some(SchedulerConfiguration {
         group: group.name.clone(),
         service: group.service.clone(),
         replicas: replicas.collect(),
-        policy: LanePolicy {
-            extra_fraction: shared.tuning.extra_fraction,
-            ..LanePolicy::new(group.limits.slots, group.limits.queue)
+        policy: SchedulerPolicy {
+            budget_fraction: shared.tuning.extra_fraction,
+            ..SchedulerPolicy::new(group.limits.slots, group.limits.queue)
         },
         domains_out: view.configuration.domains_out.clone(),
-        leaving: view.leaving_upstreams.iter().filter(is_ours).cloned().collect(),
+        leaving_upstreams: view.leaving_upstreams.iter().filter(is_ours).cloned().collect(),
     })
 }
 
--- a/crates/sassafrasproxy-node/src/lanes.rs
+++ b/crates/sassafrasproxy-node/src/lanes.rs
@@ -5,7 +5,7 @@
 
 use ecow::EcoString;
 use indexmap::IndexMap;
-use sassafrasproxy_core::{LaneEvent, US_PER_MS, View};
+use sassafrasproxy_core::{SchedulerEvent, US_PER_MS, View};
 use sassafrasproxy_wire::{
     CancelRequest, HandOver, Reason, ReplicaStatus, SubOutcome, SubReply, SubRequest,
 };
@@ -65,12 +65,12 @@
     /// Takes a group's state over from its old home.
     pub fn take_over(&self, given: HandOver) {
         if let Some(lane) = self.lock().get(&given.group) {
-            let _ = lane.send(LaneInput::Event(LaneEvent::HandedOver(given)));
+            let _ = lane.send(LaneInput::Event(SchedulerEvent::HandOverReceived(given)));
         }
     }
 
     /// Gives every lane an event.
-    pub fn tell_all(&self, event: &LaneEvent) {
+    pub fn tell_all(&self, event: &SchedulerEvent) {
         for lane in self.lock().values() {
             let _ = lane.send(LaneInput::Event(event.clone()));
         }
@@ -144,7 +144,7 @@
         request: SubRequest,
     ) -> SubReply {
         let view = shared.view.load_full();
-        let home = view.home(group).filter(|home| **home != view.me);
+        let home = view.home(group).filter(|home| **home != view.local_node);
         let Some(address) = home.and_then(|home| shared.peer_address(home)) else {
             return not_home(false);
         };
--- a/crates/sassafrasproxy-node/src/node.rs
+++ b/crates/sassafrasproxy-node/src/node.rs
@@ -10,7 +10,7 @@
 use poem::Server;
 use sassafrasproxy_clock::{Clock, wall_ms};
 use sassafrasproxy_config::Settings;
-use sassafrasproxy_core::{ClaimPolicy, Control, ControlEvent, ControlPolicy};
+use sassafrasproxy_core::{ClaimPolicy, ControlEvent, ControlPlane, ControlPolicy};
 use sassafrasproxy_wire::{EventKind, MemberState, MemberUpdate};
 use thiserror::Error;
 use tokio::runtime::Handle;
@@ -116,7 +116,7 @@
             // The wall time overrules what members remember of an earlier life of this name.
             incarnation: wall_ms(),
         };
-        let reducer = Control::new(
+        let reducer = ControlPlane::new(
             &me,
             settings.seeds.iter().cloned(),
             tuning.control,
--- a/crates/sassafrasproxy-node/src/peer_server.rs
+++ b/crates/sassafrasproxy-node/src/peer_server.rs
@@ -6,7 +6,7 @@
 use jsonrpsee::RpcModule;
 use jsonrpsee::server::{Server, ServerConfig, ServerHandle};
 use jsonrpsee::types::{ErrorObjectOwned, Params};
-use sassafrasproxy_core::{ControlEvent, LaneEvent, US_PER_MS};
+use sassafrasproxy_core::{ControlEvent, SchedulerEvent, US_PER_MS};
 use sassafrasproxy_wire::{
     CANCEL_METHOD, CLAIM_METHOD, CONFIGURATION_METHOD, CancelRequest, ClaimAnswer, ClaimRequest,
     ConfigurationRequest, HAND_OVER_METHOD, HOLDINGS_METHOD, HandOver, Heartbeat, NodeHoldings,
@@ -84,7 +84,7 @@
     })?;
     module.register_method(PUSH_HOLDINGS_METHOD, |params, shared, _| {
         let holdings: NodeHoldings = read(&params)?;
-        shared.tell(ControlEvent::HoldingsHeard(holdings));
+        shared.tell(ControlEvent::HoldingsReceived(holdings));
         Ok::<(), ErrorObjectOwned>(())
     })?;
     module.register_method(HAND_OVER_METHOD, |params, shared, _| {
@@ -105,7 +105,7 @@
         let notice: QuarantineNotice = read(&params)?;
         let ttl_us = notice.ttl_ms * US_PER_MS;
         let fingerprint = notice.fingerprint;
-        shared.lanes.tell_all(&LaneEvent::Quarantine { fingerprint, ttl_us });
+        shared.lanes.tell_all(&SchedulerEvent::Quarantine { fingerprint, ttl_us });
         Ok::<(), ErrorObjectOwned>(())
     })?;
     Ok(module)
--- a/crates/sassafrasproxy-node/src/query.rs
+++ b/crates/sassafrasproxy-node/src/query.rs
@@ -6,7 +6,7 @@
 use ecow::{EcoString, eco_format};
 use indexmap::IndexMap;
 use sassafrasproxy_core::{
-    AskToken, ControlEvent, Query, QueryEffect, QueryEnd, QueryEvent, QuerySpec, View,
+    ControlEvent, Query, QueryEffect, QueryEnd, QueryEvent, QuerySpec, ShardRequestToken, View,
 };
 use sassafrasproxy_wire::{
     Body, CancelRequest, EventKind, Reason, ShardId, SnapshotId, SubOutcome, SubReply, SubRequest,
@@ -83,9 +83,9 @@
     shared: &'a Arc<Shared>,
     job: &'a QueryJob,
     query: Query,
-    asks: JoinSet<(AskToken, AskAnswer)>,
-    running: IndexMap<AskToken, AbortHandle>,
-    bodies: IndexMap<AskToken, Body>,
+    asks: JoinSet<(ShardRequestToken, AskAnswer)>,
+    running: IndexMap<ShardRequestToken, AbortHandle>,
+    bodies: IndexMap<ShardRequestToken, Body>,
     started_us: u64,
 }
 
@@ -96,12 +96,12 @@
 }
 
 impl QueryTask<'_> {
-    fn answered(&mut self, token: AskToken, answer: AskAnswer) -> Option<QueryEnd> {
+    fn answered(&mut self, token: ShardRequestToken, answer: AskAnswer) -> Option<QueryEnd> {
         self.running.swap_remove(&token);
         let event = match answer {
             AskAnswer::Replied(reply) => {
                 if let Some(holdings) = reply.holdings {
-                    self.shared.tell(ControlEvent::GroupHoldingsHeard(holdings));
+                    self.shared.tell(ControlEvent::GroupHoldingsReceived(holdings));
                 }
                 let outcome = match (reply.outcome, reply.body) {
                     (SubOutcome::Answered, Some(body)) => {
@@ -128,7 +128,7 @@
         let mut end = None;
         for effect in self.query.step(self.shared.clock.now_us(), event, &view) {
             match effect {
-                QueryEffect::Ask { token, node, shard, snapshot, is_fallback } => {
+                QueryEffect::RequestShard { token, node, shard, snapshot, is_fallback } => {
                     self.ask(&view, token, node, shard, snapshot, is_fallback);
                 }
                 QueryEffect::Abandon { token } => {
@@ -136,7 +136,7 @@
                         ask.abort();
                     }
                 }
-                QueryEffect::Note(kind) => {
+                QueryEffect::RecordEvent(kind) => {
                     self.shared.events.note(Some(self.job.request_id.clone()), kind);
                 }
                 QueryEffect::Finish(finished) => end = Some(finished),
@@ -149,7 +149,7 @@
     fn ask(
         &mut self,
         view: &View,
-        token: AskToken,
+        token: ShardRequestToken,
         node: EcoString,
         shard: ShardId,
         snapshot: SnapshotId,
@@ -170,7 +170,7 @@
         self.shared.metrics.sub_request();
         let shared = self.shared.clone();
         let address = view.members.get(&node).map(|member| member.peer_address.clone());
-        let is_me = node == view.me;
+        let is_me = node == view.local_node;
         let ask = self.asks.spawn(async move {
             if is_me {
                 return (token, AskAnswer::Replied(shared.lanes.ask(&shared, request).await));
@@ -187,12 +187,13 @@
     }
 
     /// Tells the asks of one query from those of another with the same request id.
-    fn tag(&self, token: AskToken) -> EcoString {
+    fn tag(&self, token: ShardRequestToken) -> EcoString {
         eco_format!("{}.{}", self.started_us, token.0)
     }
 
     fn finish(mut self, end: QueryEnd) -> QueryResult {
-        let bodies = end.bodies.iter().filter_map(|token| self.bodies.swap_remove(token)).collect();
+        let bodies =
+            end.body_tokens.iter().filter_map(|token| self.bodies.swap_remove(token)).collect();
         let took_ms = (self.shared.clock.now_us() - self.started_us) / 1_000;
         let reason = end.reason;
         let fraction = end.coverage.fraction;
--- a/crates/sassafrasproxy-soak/src/check.rs
+++ b/crates/sassafrasproxy-soak/src/check.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use indexmap::{IndexMap, IndexSet};
-use sassafrasproxy_platform_standin::{CallerAnswer, KeptCaller};
+use sassafrasproxy_platform_standin::{CallerAnswer, PersistentCaller};
 
 use crate::fleet::{Addresses, Fleet, SHARDS, record};
 
@@ -63,7 +63,7 @@
     /// connection until the gateway ends it.
     pub async fn ask_on(self, caller: usize, addresses: Addresses, pause: Duration) {
         let is_keeping = caller % 2 == 1;
-        let mut kept = KeptCaller::default();
+        let mut kept = PersistentCaller::default();
         while !self.state.is_over.load(Ordering::Relaxed) {
             let number = self.state.next.fetch_add(1, Ordering::Relaxed);
             let address = {
@@ -74,10 +74,10 @@
             let kind = ["all", "one", "order"][number as usize % 3];
             let path = format!("/{kind}/{number}");
             if !is_keeping {
-                kept = KeptCaller::default();
+                kept = PersistentCaller::default();
             }
             let is_calm = self.state.is_calm.load(Ordering::Relaxed);
-            let asked = kept.ask(address, "soak.example", &path, &attempt, DEADLINE_MS);
+            let asked = kept.send_get(address, "soak.example", &path, &attempt, DEADLINE_MS);
             let answer = tokio::time::timeout(PATIENCE, asked).await;
             let answer = answer.ok().and_then(Result::ok);
             if is_calm && answer.is_none() {
@@ -108,7 +108,7 @@
     pub fn against_replicas(&self, fleet: &Fleet) -> Vec<String> {
         let mut runs: IndexMap<String, usize> = IndexMap::new();
         for replica in fleet.replicas.iter().chain(&fleet.bad_version) {
-            for attempt in replica.runs() {
+            for attempt in replica.started_attempt_ids() {
                 *runs.entry(attempt).or_default() += 1;
             }
         }
@@ -143,7 +143,7 @@
 fn wrong_merge(answer: &CallerAnswer) -> Option<String> {
     let stamps = answer.part_stamps();
     let shards: Option<IndexSet<u8>> = stamps.iter().map(|stamp| shard_of(stamp)).collect();
-    let missing = answer.missing_parts()?;
+    let missing = answer.missing_shard_count()?;
     let Some(mut shards) = shards.filter(|shards| shards.len() == stamps.len()) else {
         return Some(format!("a shard that is no shard, or one twice: {stamps:?}"));
     };
--- a/crates/sassafrasproxy-soak/src/fleet.rs
+++ b/crates/sassafrasproxy-soak/src/fleet.rs
@@ -8,8 +8,8 @@
 use eyre::Result;
 use nix::sys::signal::Signal;
 use sassafrasproxy_platform_standin::{
-    Behavior, DeclaredRoute, DeclaredTarget, GatewayProcess, Link, LinkMode, ReplicaStandIn,
-    StoreMode, StoreStandIn,
+    DeclaredRoute, DeclaredTarget, FaultProxy, FaultProxyMode, GatewayProcess, ReplicaMode,
+    ReplicaStandIn, StoreMode, StoreStandIn,
 };
 use serde_json::json;
 
@@ -46,11 +46,11 @@
     /// Replicas of the single service with a new version, which fails every second request.
     pub bad_version: Vec<ReplicaStandIn>,
     /// From the gateways to each replica.
-    ways: Vec<Link>,
+    ways: Vec<FaultProxy>,
     /// From each gateway to the store.
-    store_ways: Vec<Link>,
+    store_ways: Vec<FaultProxy>,
     /// From the other gateways to each gateway's relay port.
-    relay_ways: Vec<Link>,
+    relay_ways: Vec<FaultProxy>,
     gateways: Vec<GatewayProcess>,
     addresses: Addresses,
     version: u64,
@@ -67,16 +67,16 @@
         let replicas: Vec<ReplicaStandIn> = replicas.collect();
         let bad_version = ["n0", "n1"].map(|id| {
             let replica = ReplicaStandIn::start(id, "desk", record(2 * SHARDS as u8));
-            replica.set(Behavior::FailingEach(2));
+            replica.set_mode(ReplicaMode::FailingEveryNth(2));
             replica.with_version("v2")
         });
         let store = StoreStandIn::start();
         let mut fleet = Self {
             binary: binary.to_path_buf(),
-            ways: replicas.iter().map(|replica| Link::start(replica.address())).collect(),
-            store_ways: (0..nodes).map(|_| Link::start(store.address())).collect(),
+            ways: replicas.iter().map(|replica| FaultProxy::start(replica.address())).collect(),
+            store_ways: (0..nodes).map(|_| FaultProxy::start(store.address())).collect(),
             // Each leads to its gateway once that has started.
-            relay_ways: (0..nodes).map(|_| Link::start(store.address())).collect(),
+            relay_ways: (0..nodes).map(|_| FaultProxy::start(store.address())).collect(),
             store,
             replicas,
             bad_version: bad_version.into(),
@@ -91,11 +91,11 @@
         }
         for at in 0..nodes {
             let gateway = fleet.start_gateway(at)?;
-            fleet.addresses.lock().unwrap().push(gateway.callers());
+            fleet.addresses.lock().unwrap().push(gateway.callers_address());
             fleet.gateways.push(gateway);
         }
         for gateway in &fleet.gateways {
-            gateway.wait_for_line("a configuration is in force")?;
+            gateway.wait_for_log_line("a configuration is in force")?;
         }
         for (replica, zone) in fleet.bad_version.iter().zip(["west", "east"]) {
             replica.register(&fleet.store, zone, "ready");
@@ -107,7 +107,7 @@
     /// What the bad version got beyond its bound, or whether it was completed.
     fn exposed(&self) -> Option<String> {
         let arrivals = |replicas: &[ReplicaStandIn]| {
-            replicas.iter().map(|replica| replica.arrivals().len()).sum::<usize>()
+            replicas.iter().map(|replica| replica.received_requests().len()).sum::<usize>()
         };
         let bad = arrivals(&self.bad_version);
         let all = bad + arrivals(&self.replicas[2 * SHARDS..]);
@@ -129,7 +129,7 @@
         broken.extend(self.exposed());
         for gateway in &self.gateways {
             let versions: Vec<u64> = gateway
-                .lines()
+                .log_lines()
                 .iter()
                 .filter(|line| line["message"] == "a configuration is in force")
                 .filter_map(|line| line["version"].as_u64())
@@ -154,44 +154,48 @@
                 // A process that stands still cannot end by itself.
                 self.gateways[at].signal(Signal::SIGCONT)?;
                 self.gateways[at].signal(Signal::SIGTERM)?;
-                let status = self.gateways[at].wait()?;
+                let status = self.gateways[at].wait_for_exit()?;
                 if !status.success() {
                     self.broken.push(format!("gateway {at} ended with {status} after SIGTERM"));
                 }
                 self.restart(at)?;
             }
             Fault::Hangup(at) => self.gateways[at].signal(Signal::SIGHUP)?,
-            Fault::ReplicaSlow(at) => self.replicas[at].set(Behavior::Answering(SLOW_MS)),
-            Fault::ReplicaFails(at) => self.replicas[at].set(Behavior::Failing),
-            Fault::ReplicaSheds(at) => self.replicas[at].set(Behavior::Shedding),
-            Fault::ReplicaSilent(at) => self.replicas[at].set(Behavior::Silent),
-            Fault::ReplicaCrosses(at) => self.replicas[at].set(Behavior::Crossed),
-            Fault::ReplicaSound(at) => self.replicas[at].set(Behavior::Answering(0)),
+            Fault::ReplicaSlow(at) => self.replicas[at].set_mode(ReplicaMode::Answering(SLOW_MS)),
+            Fault::ReplicaFails(at) => self.replicas[at].set_mode(ReplicaMode::Failing),
+            Fault::ReplicaSheds(at) => self.replicas[at].set_mode(ReplicaMode::Shedding),
+            Fault::ReplicaSilent(at) => self.replicas[at].set_mode(ReplicaMode::Unresponsive),
+            Fault::ReplicaCrosses(at) => self.replicas[at].set_mode(ReplicaMode::WrongAttemptId),
+            Fault::ReplicaSound(at) => self.replicas[at].set_mode(ReplicaMode::Answering(0)),
             Fault::ReplicaDrains(at) => self.register(at, "draining"),
-            Fault::ReplicaUnlisted(at) => self.store.unlist(&format!("r{at}")),
+            Fault::ReplicaUnlisted(at) => self.store.deregister_replica(&format!("r{at}")),
             Fault::ReplicaListed(at) => self.register(at, "ready"),
-            Fault::WayDelays(at) => self.ways[at].set_mode(LinkMode::Delaying(DELAY_MS)),
-            Fault::WayLosesRequests(at) => self.ways[at].set_mode(LinkMode::LosingRequests),
-            Fault::WayLosesAnswers(at) => self.ways[at].set_mode(LinkMode::LosingAnswers),
-            Fault::WaySound(at) => self.ways[at].set_mode(LinkMode::Sound),
-            Fault::WayReset(at) => self.ways[at].reset(),
-            Fault::WaySilenced(at) => self.ways[at].silence(),
-            Fault::StoreWayCut(at) => self.store_ways[at].set_mode(LinkMode::LosingAnswers),
-            Fault::StoreWaySilenced(at) => self.store_ways[at].silence(),
-            Fault::StoreWaySound(at) => self.store_ways[at].set_mode(LinkMode::Sound),
-            Fault::RelayWayDelays(at) => self.relay_ways[at].set_mode(LinkMode::Delaying(DELAY_MS)),
-            Fault::RelayWayLosesAsks(at) => self.relay_ways[at].set_mode(LinkMode::LosingRequests),
+            Fault::WayDelays(at) => self.ways[at].set_mode(FaultProxyMode::Delaying(DELAY_MS)),
+            Fault::WayLosesRequests(at) => self.ways[at].set_mode(FaultProxyMode::DroppingRequests),
+            Fault::WayLosesAnswers(at) => self.ways[at].set_mode(FaultProxyMode::DroppingAnswers),
+            Fault::WaySound(at) => self.ways[at].set_mode(FaultProxyMode::PassThrough),
+            Fault::WayReset(at) => self.ways[at].reset_open_connections(),
+            Fault::WaySilenced(at) => self.ways[at].blackhole_open_connections(),
+            Fault::StoreWayCut(at) => self.store_ways[at].set_mode(FaultProxyMode::DroppingAnswers),
+            Fault::StoreWaySilenced(at) => self.store_ways[at].blackhole_open_connections(),
+            Fault::StoreWaySound(at) => self.store_ways[at].set_mode(FaultProxyMode::PassThrough),
+            Fault::RelayWayDelays(at) => {
+                self.relay_ways[at].set_mode(FaultProxyMode::Delaying(DELAY_MS));
+            }
+            Fault::RelayWayLosesAsks(at) => {
+                self.relay_ways[at].set_mode(FaultProxyMode::DroppingRequests);
+            }
             Fault::RelayWayLosesReplies(at) => {
-                self.relay_ways[at].set_mode(LinkMode::LosingAnswers);
+                self.relay_ways[at].set_mode(FaultProxyMode::DroppingAnswers);
             }
-            Fault::RelayWaySound(at) => self.relay_ways[at].set_mode(LinkMode::Sound),
-            Fault::RelayWayReset(at) => self.relay_ways[at].reset(),
-            Fault::RelayWaySilenced(at) => self.relay_ways[at].silence(),
+            Fault::RelayWaySound(at) => self.relay_ways[at].set_mode(FaultProxyMode::PassThrough),
+            Fault::RelayWayReset(at) => self.relay_ways[at].reset_open_connections(),
+            Fault::RelayWaySilenced(at) => self.relay_ways[at].blackhole_open_connections(),
             Fault::Configure => self.configure(),
             Fault::StoreRefuses => self.store.set_mode(StoreMode::Refusing(503)),
-            Fault::StoreSilent => self.store.set_mode(StoreMode::Silent),
-            Fault::StoreLosesAnswers => self.store.set_mode(StoreMode::LosingAnswers),
-            Fault::StoreForgets => self.store.forget(),
+            Fault::StoreSilent => self.store.set_mode(StoreMode::Unresponsive),
+            Fault::StoreLosesAnswers => self.store.set_mode(StoreMode::DroppingWriteAnswers),
+            Fault::StoreForgets => self.store.compact(),
             Fault::StoreSound => self.store.set_mode(StoreMode::Up),
         }
         Ok(())
@@ -201,11 +205,11 @@
     pub fn heal(&mut self) -> Result<()> {
         self.store.set_mode(StoreMode::Up);
         for at in 0..REPLICAS {
-            self.replicas[at].set(Behavior::Answering(0));
+            self.replicas[at].set_mode(ReplicaMode::Answering(0));
             self.register(at, "ready");
         }
         let ways = self.ways.iter().chain(&self.store_ways).chain(&self.relay_ways);
-        ways.for_each(|way| way.set_mode(LinkMode::Sound));
+        ways.for_each(|way| way.set_mode(FaultProxyMode::PassThrough));
         self.gateways.iter().try_for_each(|gateway| gateway.signal(Signal::SIGCONT))
     }
 
@@ -213,7 +217,7 @@
     pub async fn roll(&mut self) -> Result<()> {
         for at in 0..self.gateways.len() {
             self.play(&Fault::Terminate(at)).await?;
-            self.gateways[at].wait_for_line("a configuration is in force")?;
+            self.gateways[at].wait_for_log_line("a configuration is in force")?;
         }
         Ok(())
     }
@@ -222,30 +226,37 @@
     pub async fn drain(&self, at: usize, after: Duration) -> bool {
         self.register(at, "draining");
         tokio::time::sleep(after).await;
-        let runs = self.replicas[at].runs().len();
+        let runs = self.replicas[at].started_attempt_ids().len();
         tokio::time::sleep(after).await;
-        self.replicas[at].runs().len() > runs
+        self.replicas[at].started_attempt_ids().len() > runs
     }
 
     fn restart(&mut self, at: usize) -> Result<()> {
-        self.gateways[at].wait()?;
+        self.gateways[at].wait_for_exit()?;
         let gateway = self.start_gateway(at)?;
-        self.addresses.lock().unwrap()[at] = gateway.callers();
+        self.addresses.lock().unwrap()[at] = gateway.callers_address();
         self.gateways[at] = gateway;
         Ok(())
     }
 
     fn start_gateway(&self, at: usize) -> Result<GatewayProcess> {
-        let seeds: Vec<SocketAddr> = self.gateways.iter().map(GatewayProcess::peers).collect();
+        let seeds: Vec<SocketAddr> =
+            self.gateways.iter().map(GatewayProcess::peers_address).collect();
         let domain = ["west", "east"][at % 2];
         let (store, way) = (self.store_ways[at].address(), &self.relay_ways[at]);
         let name = format!("vm-{at}");
         let rollouts =
             json!({ "exposure_share": EXPOSURE_SHARE, "exposure_slack": EXPOSURE_SLACK });
         let relay = [("relay_advertise", way.address().to_string().into()), ("rollouts", rollouts)];
-        let gateway =
-            GatewayProcess::start_with(&self.binary, &name, domain, store, &seeds, &relay)?;
-        way.lead_to(gateway.relay());
+        let gateway = GatewayProcess::start_with_settings(
+            &self.binary,
+            &name,
+            domain,
+            store,
+            &seeds,
+            &relay,
+        )?;
+        way.set_target(gateway.relay_address());
         Ok(gateway)
     }
 
@@ -269,7 +280,7 @@
             goal_ms: 200,
             target,
         });
-        self.store.publish(self.version, &routes);
+        self.store.publish_configuration(self.version, &routes);
     }
 }
 
--- a/crates/sassafrasproxy-standin/examples/faults.rs
+++ b/crates/sassafrasproxy-standin/examples/faults.rs
@@ -175,7 +175,7 @@
 
 /// Restarts replicas under load; one that is cold falls over when it runs two at once.
 async fn cold(rounds: usize) -> Result<()> {
-    let is_direct = ControlPolicy { is_direct: true, ..ControlPolicy::default() };
+    let is_direct = ControlPolicy { bypasses_homes: true, ..ControlPolicy::default() };
     let direct = Tuning { control: is_direct, ..Tuning::default() };
     for (label, tuning) in [("homes", Tuning::default()), ("direct", direct)] {
         let cold = Some(ColdStart { factor: 4.0, answers: 20, bears: 1 });
--- a/crates/sassafrasproxy-standin/examples/load.rs
+++ b/crates/sassafrasproxy-standin/examples/load.rs
@@ -128,7 +128,7 @@
         slots * 1_000.0 / (service.service_ms + service.round_trip_ms)
     });
     let rate_per_s = if rate_per_s > 0.0 { rate_per_s } else { 2.0 * bears.sum::<f64>() };
-    let direct = ControlPolicy { is_direct: true, ..ControlPolicy::default() };
+    let direct = ControlPolicy { bypasses_homes: true, ..ControlPolicy::default() };
     [("homes", Tuning::default()), ("direct", Tuning { control: direct, ..Tuning::default() })]
         .map(|(label, tuning)| case(label, services.clone(), tuning, rate_per_s, 1, seed))
         .into()
--- a/crates/sassafrasproxy-standin/examples/slopes.rs
+++ b/crates/sassafrasproxy-standin/examples/slopes.rs
@@ -11,9 +11,10 @@
 use indexmap::{IndexMap, IndexSet};
 use sassafrasproxy_config::{assemble, chunk_services};
 use sassafrasproxy_core::{
-    AttemptId, AttemptResult, Control, ControlEffect, ControlEvent, ControlPolicy, Lane,
-    LaneConfiguration, LaneEffect, LaneEvent, LanePolicy, Query, QueryEffect, QueryEvent,
-    QuerySpec, ReplicaSpec, StatusReport, Sub, SubKey, View,
+    AttemptId, AttemptResult, ControlEffect, ControlEvent, ControlPlane, ControlPolicy, Query,
+    QueryEffect, QueryEvent, QuerySpec, ReplicaSpec, Scheduler, SchedulerConfiguration,
+    SchedulerEffect, SchedulerEvent, SchedulerPolicy, StatusReport, SubRequestId, SubRequestSpec,
+    View,
 };
 use sassafrasproxy_wire::{
     Body, Configuration, ConfigurationHead, GroupHoldings, HeldSnapshot, Hlc, KindSpec, Limits,
@@ -65,14 +66,14 @@
         let mut peer = settled_control(members);
         let heartbeat = peer.heartbeat(Hlc::default(), None);
         let time_us = time_us(2_000, |round| {
-            let event = ControlEvent::HeartbeatHeard(heartbeat.clone());
+            let event = ControlEvent::HeartbeatReceived(heartbeat.clone());
             black_box(control.step(round as u64, event));
             black_box(control.heartbeat(Hlc::default(), Some(&heartbeat)));
         });
         heartbeat_us.points.push((members as f64, time_us));
         heartbeat_bytes.points.push((members as f64, json_bytes(&heartbeat)? as f64));
-        let stranger =
-            Control::new(&update(members + 1), [], policy(), 1, 0).heartbeat(Hlc::default(), None);
+        let stranger = ControlPlane::new(&update(members + 1), [], policy(), 1, 0)
+            .heartbeat(Hlc::default(), None);
         let answer = control.heartbeat(Hlc::default(), Some(&stranger));
         newcomer_bytes.points.push((members as f64, json_bytes(&answer)? as f64));
         let rounds = 20.min(members - 2);
@@ -80,7 +81,7 @@
             let mut dead = heartbeat.clone();
             let state = MemberState::Dead;
             dead.updates = vec![MemberUpdate { state, ..update(round + 2) }];
-            black_box(control.step(10_000, ControlEvent::HeartbeatHeard(dead)));
+            black_box(control.step(10_000, ControlEvent::HeartbeatReceived(dead)));
         });
         homes_us.points.push((members as f64, time_us));
     }
@@ -88,12 +89,12 @@
 }
 
 /// A control reducer that knows all members, the configuration and every group's holdings.
-fn settled_control(members: usize) -> Control {
-    let mut control = Control::new(&update(0), [], policy(), 1, 0);
+fn settled_control(members: usize) -> ControlPlane {
+    let mut control = ControlPlane::new(&update(0), [], policy(), 1, 0);
     for number in 1..members {
-        let mut peer = Control::new(&update(number), [], policy(), 1, 0);
+        let mut peer = ControlPlane::new(&update(number), [], policy(), 1, 0);
         let heartbeat = peer.heartbeat(Hlc::default(), None);
-        control.step(1, ControlEvent::HeartbeatHeard(heartbeat));
+        control.step(1, ControlEvent::HeartbeatReceived(heartbeat));
     }
     // News of the joins have gone out.
     for _ in 0..members * 40 {
@@ -101,7 +102,7 @@
     }
     let groups = (members as f64 * REPLICAS_PER_MEMBER / 2.0) as usize;
     let configuration = configuration(groups);
-    control.step(2, ControlEvent::ConfigurationSeen(configuration));
+    control.step(2, ControlEvent::ConfigurationReceived(configuration));
     let view = control.view();
     let mut by_home: IndexMap<EcoString, Vec<GroupHoldings>> = IndexMap::new();
     for (group, ranked) in view.homes.iter() {
@@ -109,7 +110,7 @@
     }
     for (node, groups) in by_home {
         let heard = NodeHoldings { node, version: 1, is_whole: true, groups };
-        control.step(3, ControlEvent::HoldingsHeard(heard));
+        control.step(3, ControlEvent::HoldingsReceived(heard));
     }
     control
 }
@@ -166,7 +167,7 @@
             let mut query = Query::new(spec.clone());
             let mut effects: VecDeque<_> = query.step(0, QueryEvent::Start, &view).into();
             while let Some(effect) = effects.pop_front() {
-                if let QueryEffect::Ask { token, .. } = effect {
+                if let QueryEffect::RequestShard { token, .. } = effect {
                     let outcome = SubOutcome::Answered;
                     let event = QueryEvent::Replied { token, outcome };
                     effects.extend(query.step(1, event, &view));
@@ -185,15 +186,15 @@
         failure_domain: eco_format!("domain-{number}"),
         shards: ["s0".into()].into_iter().collect(),
     };
-    let mut lane = Lane::new(LaneConfiguration {
+    let mut lane = Scheduler::new(SchedulerConfiguration {
         group: "service-0/s0".into(),
         service: "service-0".into(),
         replicas: (0..2).map(spec).collect(),
-        policy: LanePolicy::new(2, 64),
+        policy: SchedulerPolicy::new(2, 64),
         domains_out: IndexSet::new(),
-        leaving: IndexSet::new(),
+        leaving_upstreams: IndexSet::new(),
     });
-    lane.step(0, LaneEvent::BecomeHome { view_skew_us: 0 });
+    lane.step(0, SchedulerEvent::BecomeHome { view_skew_us: 0 });
     for number in 0..2 {
         let report = StatusReport::Read(UpstreamStatus {
             boot_id: "boot".into(),
@@ -203,14 +204,14 @@
             snapshots: vec![held()],
         });
         let replica = spec(number).address;
-        lane.step(0, LaneEvent::Status { replica, probe: None, report });
+        lane.step(0, SchedulerEvent::Status { replica, probe_id: None, report });
     }
     let mut now_us = 1_000;
     let mut open: VecDeque<AttemptId> = VecDeque::new();
     let time = time_us(50_000, |round| {
         now_us += 1_000;
-        let sub = Sub {
-            key: SubKey(round as u64),
+        let sub = SubRequestSpec {
+            id: SubRequestId(round as u64),
             shard: "s0".into(),
             snapshot: 7,
             is_idempotent: true,
@@ -218,19 +219,19 @@
             fingerprint: round as u64,
             deadline_us: now_us + 90_000,
         };
-        let mut effects = lane.step(now_us, LaneEvent::Submit(sub));
+        let mut effects = lane.step(now_us, SchedulerEvent::Submit(sub));
         if open.len() >= 2
             && let Some(attempt) = open.pop_front()
         {
             let report = AttemptResult::Answered.into();
-            effects.extend(lane.step(now_us, LaneEvent::Finished { attempt, report }));
+            effects.extend(lane.step(now_us, SchedulerEvent::Finished { attempt, report }));
         }
         for effect in effects {
-            if let LaneEffect::Send { attempt, .. } = effect {
+            if let SchedulerEffect::Send { attempt, .. } = effect {
                 open.push_back(attempt);
             }
         }
-        black_box(lane.wake_us(now_us));
+        black_box(lane.next_timer_us(now_us));
     });
     println!("  {:<44} {time:>10.2} us", "a home's reducer for a sub-request");
 }
@@ -324,13 +325,13 @@
 
 /// The view of a node that knows a number of groups of one shard each.
 fn view(groups: usize) -> View {
-    let mut control = Control::new(&update(0), [], policy(), 1, 0);
-    control.step(1, ControlEvent::ConfigurationSeen(configuration(groups)));
+    let mut control = ControlPlane::new(&update(0), [], policy(), 1, 0);
+    control.step(1, ControlEvent::ConfigurationReceived(configuration(groups)));
     let groups: Vec<GroupHoldings> =
         control.view().homes.keys().map(|group| holdings(group, "vm-0")).collect();
     let heard = NodeHoldings { node: "vm-0".into(), version: 1, is_whole: true, groups };
-    let effects = control.step(2, ControlEvent::HoldingsHeard(heard));
-    assert!(effects.contains(&ControlEffect::Publish));
+    let effects = control.step(2, ControlEvent::HoldingsReceived(heard));
+    assert!(effects.contains(&ControlEffect::PublishView));
     control.view()
 }
 
