--- a/crates/sassafrasproxy-core/src/forward/registry/catalogue.rs
+++ b/crates/sassafrasproxy-core/src/forward/registry/catalogue.rs
@@ -1,4 +1,4 @@
-//! Everything that traffic needs to know of configuration and replicas.
+//! The catalogue: the configuration and replicas that requests are routed by.
 
 use std::sync::Arc;
 
@@ -8,38 +8,40 @@
 
 use crate::{RouteTable, TrialGrant};
 
-/// Everything that traffic needs to know, replaced as a whole.
+/// An immutable snapshot of the configuration and the usable replicas.
+///
+/// Each change replaces the snapshot as a whole.
 #[derive(Debug, Clone, Default)]
 pub struct Catalogue {
-    /// The version of the configuration; 0 before the first.
+    /// The version of the active configuration; 0 before the first one is received.
     pub version: u64,
-    /// The configuration's routes.
+    /// The routes of the active configuration.
     pub routes: Arc<RouteTable>,
-    /// The configuration's services.
+    /// The services of the active configuration, by name.
     pub services: Arc<IndexMap<EcoString, RoutedService>>,
-    /// What callers may send.
+    /// The limits on what callers may send.
     pub caller_limits: CallerLimits,
-    /// The replicas that may be used, by id.
+    /// The known replicas, by id; those that may get new work are marked eligible.
     pub replicas: IndexMap<EcoString, CatalogueReplica>,
-    /// What this node may send to versions on trial, by service.
+    /// The traffic that this node may send to versions on trial, by service.
     pub trial_grants: IndexMap<EcoString, TrialGrant>,
 }
 
-/// One replica of the catalogue.
+/// A replica in the catalogue.
 #[derive(Debug, Clone, PartialEq)]
 pub struct CatalogueReplica {
-    /// Its entry.
+    /// The entry that the replica registered in the store.
     pub entry: Arc<ReplicaEntry>,
-    /// When this node took the entry in, in microseconds of the node's clock.
+    /// When this node received the entry, in microseconds of the node's clock.
     pub received_us: u64,
-    /// Whether it may get new work.
+    /// Whether the replica may get new work.
     pub is_eligible: bool,
-    /// Whether that is only what the trial of its version allows.
+    /// Whether the replica's version is on trial, so that it gets only the work the trial allows.
     pub is_on_trial: bool,
 }
 
 impl CatalogueReplica {
-    /// A replica that may get any work.
+    /// Creates a replica that may get any work.
     pub fn eligible(entry: ReplicaEntry, received_us: u64) -> Self {
         Self { entry: Arc::new(entry), received_us, is_eligible: true, is_on_trial: false }
     }
--- a/crates/sassafrasproxy-core/src/forward/registry/datagram.rs
+++ b/crates/sassafrasproxy-core/src/forward/registry/datagram.rs
@@ -1,4 +1,4 @@
-//! The datagrams between nodes, and their form on the wire.
+//! Defines the datagrams that nodes exchange and their encoding on the wire.
 
 use ecow::EcoString;
 use sassafrasproxy_wire::{MemberState, MemberUpdate};
@@ -6,45 +6,50 @@
 
 use crate::{CrashReport, Digests, Member, TrialReport};
 
-/// The first byte of each datagram; raised with each change that older nodes cannot read.
+/// The format version in the first byte of each datagram.
+///
+/// Incremented with each change that older nodes cannot decode.
 const FORMAT: u8 = 2;
 
-/// The largest datagram, in bytes: with its headers it fits the usual MTU of 1,500.
+/// The maximum size of a datagram, in bytes.
+///
+/// With its headers, a datagram of this size fits the usual MTU of 1,500 bytes.
 pub const MAX_DATAGRAM_BYTES: usize = 1_200;
 
-/// One datagram between nodes.
+/// A datagram from one node to another.
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct PeerDatagram {
-    /// What it is for.
+    /// The purpose of the datagram.
     pub kind: DatagramKind,
-    /// Who sends it.
+    /// The node that sends the datagram.
     pub sender: DatagramSender,
-    /// A hash over the sender's members that are not dead, to notice a difference.
+    /// A hash over the sender's members that are not dead, by which the receiver detects that
+    /// the two member tables differ.
     pub members_hash: u64,
-    /// The newest revision of the store that the sender has heard of.
+    /// The latest revision of the store that the sender has heard of.
     pub latest: LatestRevision,
-    /// Whether the store turns the sender away.
+    /// Whether the store is unavailable to the sender.
     pub is_store_unavailable: bool,
-    /// Deaths of replicas under requests that were reported lately.
+    /// Recent reports of replicas that crashed while they processed a request.
     pub crash_reports: Vec<CrashReport>,
-    /// Roll-outs that were stopped lately, by the store's revision of their orders.
+    /// Rollouts that were stopped recently, each by the store's revision of its order.
     pub stopped_rollouts: Vec<u64>,
-    /// What the sender has counted in trials of versions, for the node that decides.
+    /// The sender's counts from trials of versions, for the coordinator.
     pub trial_reports: Vec<TrialReport>,
-    /// Hashes over a part of the sender's members, while the two differ.
+    /// Hashes over a part of the sender's members; sent while the two member tables differ.
     pub digests: Option<Digests>,
-    /// What the receiver may not know of members.
+    /// Updates on members that the receiver may not know yet.
     pub updates: Vec<GossipUpdate>,
 }
 
 impl PeerDatagram {
-    /// The bytes to send.
+    /// Encodes the datagram into the bytes to send.
     pub fn encode(&self) -> Result<Vec<u8>, DatagramError> {
         postcard::to_extend(self, vec![FORMAT]).map_err(DatagramError::EncodeFailed)
     }
 
-    /// Reads the bytes of a datagram.
+    /// Decodes a datagram from the bytes that were received.
     pub fn decode(bytes: &[u8]) -> Result<Self, DatagramError> {
         match bytes.split_first() {
             Some((&FORMAT, body)) => postcard::from_bytes(body).map_err(DatagramError::Malformed),
@@ -53,63 +58,66 @@
         }
     }
 
-    /// Adds news until the datagram is full.
-    pub fn fill(&mut self, news: impl IntoIterator<Item = GossipUpdate>) {
-        // The format's byte, and two for a longer count of news.
+    /// Adds updates until the next one would exceed `MAX_DATAGRAM_BYTES`.
+    pub fn fill(&mut self, updates: impl IntoIterator<Item = GossipUpdate>) {
+        // One byte for the format, and two because the encoded count of updates may get longer.
         let mut length = 3 + encoded_len(self);
-        for one in news {
-            length += encoded_len(&one);
+        for update in updates {
+            length += encoded_len(&update);
             if length > MAX_DATAGRAM_BYTES {
                 return;
             }
-            self.updates.push(one);
+            self.updates.push(update);
         }
     }
 }
 
-/// Why a datagram cannot be read or written.
+/// An error from encoding or decoding a datagram.
 #[derive(Debug, thiserror::Error)]
 pub enum DatagramError {
-    /// It has no bytes.
-    #[error("the datagram is empty; is another program using the port?")]
+    /// The datagram has no bytes.
+    #[error("the datagram is empty; check that no other program sends to the peer port")]
     Empty,
-    /// It is of another version of the program, or of another program.
-    #[error("the datagram has format {format}, not {FORMAT}; do all nodes run this version?")]
+    /// The datagram comes from another version of this program, or from another program.
+    #[error(
+        "the datagram has format {format}, but this node reads format {FORMAT}; \
+         check that all nodes run the same version"
+    )]
     UnsupportedFormat {
-        /// The first byte.
+        /// The format in the first byte.
         format: u8,
     },
-    /// It begins like one of this version and is none.
-    #[error("the datagram is damaged: {0}; the sender will try again")]
+    /// The first byte is this version's format, but the rest cannot be decoded.
+    #[error("the datagram is malformed and was dropped: {0}; the sender will retry")]
     Malformed(#[source] postcard::Error),
-    /// It cannot be written.
-    #[error("the datagram cannot be written: {0}; report this as a fault")]
+    /// The datagram cannot be encoded.
+    #[error("the datagram cannot be encoded: {0}; report this as a bug")]
     EncodeFailed(#[source] postcard::Error),
 }
 
-/// What a datagram is for, in the order of an exchange.
+/// The purpose of a datagram, in the order of an exchange.
 ///
-/// Nodes that agree on the members stop after the answer. Each later step is taken only while they
-/// still differ, so an exchange has five datagrams at most.
+/// Two nodes whose member tables agree stop after the answer. Each later step is taken only while
+/// the tables still differ, so an exchange has at most five datagrams.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub enum DatagramKind {
     /// Asks whether the receiver is alive.
     Probe,
-    /// Answers a probe, with recent news if the two differ.
+    /// Answers a probe; carries recent updates if the two member tables differ.
     Answer,
-    /// Returns recent news, and digests.
+    /// Answers with recent updates and digests.
     Compare,
-    /// Returns what differs by the digests, and digests of its own.
+    /// Answers with the members whose digests differ, and with the sender's own digests.
     Differences,
-    /// Returns what still differs.
+    /// Answers with the members that still differ.
     Rest,
-    /// Tells something that cannot wait for a probe.
+    /// Sends an update that cannot wait for the next probe.
     Notice,
 }
 
 impl DatagramKind {
-    /// Its name in metrics.
+    /// Returns the name of the kind in metrics.
     pub fn name(self) -> &'static str {
         match self {
             Self::Probe => "probe",
@@ -122,55 +130,55 @@
     }
 }
 
-/// The sender of a datagram, as it sees itself.
+/// The sender of a datagram, as it describes itself.
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct DatagramSender {
-    /// Its name.
+    /// The name of the node.
     pub node: EcoString,
-    /// Raised only by itself.
+    /// The node's incarnation, which only the node itself increments.
     pub incarnation: u64,
-    /// Its state.
+    /// The node's state.
     pub state: MemberState,
 }
 
-/// The newest revision of the store that anybody was heard to follow to.
+/// The latest revision of the store that any node is known to have synced to.
 ///
-/// Passed on with each datagram, as a node of a large fleet hears from each other one only now and
-/// then: a node whose watch went silent must know within seconds that there is more.
+/// Each datagram passes this on, because a node of a large fleet hears from each other node only
+/// occasionally: a node whose watch has stalled must learn within seconds that it is behind.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct LatestRevision {
-    /// The revision.
+    /// The store's revision.
     pub revision: u64,
-    /// The peer address of a node that follows the store so far.
+    /// The peer address of a node that has synced to this revision.
     pub peer_address: EcoString,
 }
 
-/// News on one member.
+/// An update on one member.
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub enum GossipUpdate {
-    /// Everything on a member that the receiver may not know.
+    /// The full record of a member that the receiver may not know.
     Full(CompactMember),
-    /// The state of a member that the receiver knows.
+    /// Only the state of a member, which the receiver is expected to know.
     StateOnly {
-        /// The hash of its name.
+        /// The hash of the member's name.
         name_hash: u64,
-        /// Its incarnation.
+        /// The member's incarnation.
         incarnation: u64,
-        /// Its state.
+        /// The member's state.
         state: MemberState,
     },
 }
 
 impl GossipUpdate {
-    /// Everything on a member.
+    /// Creates an update with the full record of a member.
     pub fn full(member: &Member) -> Self {
         Self::Full(CompactMember::new(&member.to_update()))
     }
 
-    /// The state of a member.
+    /// Creates an update with only the state of a member.
     pub fn state_only(member: &Member) -> Self {
         Self::StateOnly {
             name_hash: member.name_hash,
@@ -180,7 +188,7 @@
     }
 }
 
-/// A member whose addresses are shortened by what they share.
+/// The record of a member, in which addresses omit the prefix shared with the peer address.
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct CompactMember {
@@ -195,7 +203,7 @@
 }
 
 impl CompactMember {
-    /// Shortens a member.
+    /// Compresses the record of a member.
     pub fn new(update: &MemberUpdate) -> Self {
         Self {
             node: update.node.clone(),
@@ -209,7 +217,7 @@
         }
     }
 
-    /// The member as it was.
+    /// Returns the uncompressed record.
     pub fn to_update(&self) -> MemberUpdate {
         MemberUpdate {
             node: self.node.clone(),
@@ -224,29 +232,33 @@
     }
 }
 
-/// A text that begins like another one.
+/// A text without the prefix that it shares with a reference text.
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 struct PrefixCompressed {
-    /// How many characters they share.
+    /// The number of leading characters shared with the reference text.
     prefix_chars: u8,
     suffix: EcoString,
 }
 
 impl PrefixCompressed {
-    fn new(text: &str, other: &str) -> Self {
-        let pairs = text.chars().zip(other.chars()).take(usize::from(u8::MAX));
-        let shared = pairs.take_while(|(one, two)| one == two).count();
+    fn new(text: &str, reference: &str) -> Self {
+        let pairs = text.chars().zip(reference.chars()).take(usize::from(u8::MAX));
+        let shared = pairs.take_while(|(left, right)| left == right).count();
         Self { prefix_chars: shared as u8, suffix: text.chars().skip(shared).collect() }
     }
 
-    /// The text; what a damaged count claims beyond the other text is left out.
-    fn expand(&self, other: &str) -> EcoString {
-        other.chars().take(usize::from(self.prefix_chars)).chain(self.suffix.chars()).collect()
+    /// Restores the text.
+    ///
+    /// A malformed count that exceeds the length of the reference text is cut to that length.
+    fn expand(&self, reference: &str) -> EcoString {
+        reference.chars().take(usize::from(self.prefix_chars)).chain(self.suffix.chars()).collect()
     }
 }
 
-/// The length of a value on the wire, in bytes; one that cannot be written fills any datagram.
+/// Returns the length of an encoded value, in bytes.
+///
+/// A value that cannot be encoded counts as `MAX_DATAGRAM_BYTES`, so that it fits no datagram.
 fn encoded_len(value: &impl Serialize) -> usize {
     postcard::experimental::serialized_size(value).unwrap_or(MAX_DATAGRAM_BYTES)
 }
--- a/crates/sassafrasproxy-core/src/forward/registry/discovery/events.rs
+++ b/crates/sassafrasproxy-core/src/forward/registry/discovery/events.rs
@@ -1,51 +1,53 @@
-//! What discovery takes in, and what it says of it.
+//! Defines the input events of discovery and the log events that it returns.
 
 use ecow::EcoString;
 
 use crate::{RegistryEntry, RegistryKey, RolloutPhase};
 
-/// What discovery takes in.
+/// An input of discovery.
 #[derive(Debug, Clone, PartialEq)]
 pub enum DiscoveryEvent {
-    /// A list of everything begins, at a revision of the store.
+    /// A list of the whole store starts, at a revision of the store.
     ListStarted {
-        /// The revision.
+        /// The store's revision.
         revision: u64,
     },
-    /// A fact was listed or written.
+    /// An entry was listed or written.
     EntrySeen {
-        /// The fact.
+        /// The entry.
         entry: RegistryEntry,
-        /// The store's revision of it.
+        /// The store's revision of the entry.
         revision: u64,
     },
-    /// A subject has no readable fact any more.
+    /// The entry of a key was removed, or can no longer be decoded.
     EntryRemoved {
-        /// The subject.
+        /// The key.
         key: RegistryKey,
-        /// The store's revision of its removal.
+        /// The store's revision of the removal.
         revision: u64,
     },
-    /// The list ended: what it did not name is gone.
+    /// The list ended; entries that were not listed are gone.
     ListEnded,
-    /// A peer that follows the store further told all it knows.
+    /// A peer that has synced further with the store sent all entries it knows.
     PeerEntries {
-        /// Its facts, each with its revision in the store.
+        /// The peer's entries, each with its revision in the store.
         entries: Vec<(RegistryEntry, u64)>,
-        /// How far the peer follows the store.
+        /// The revision of the store up to which the peer has synced.
         revision: u64,
     },
-    /// A peer that follows the store says until when lapsed entries may come back.
+    /// A peer that follows the store reports until when expired entries may be registered again.
     HoldUntil {
-        /// The time.
+        /// The time, in microseconds of this node's clock.
         until_us: u64,
     },
-    /// What follows comes from a peer that knows more of the store: the store serves somebody, so
-    /// entries did not lapse for all. How long those that did may take, the peer says itself.
+    /// The events that follow come from a peer that has synced further with the store.
+    ///
+    /// The store thus serves at least one node, so entries that are gone did not all expire in an
+    /// outage. The peer reports with `HoldUntil` how long expired entries are held.
     PeerSyncStarted,
-    /// A roll-out was stopped, by the store's revision of its order.
+    /// A rollout was stopped.
     RolloutStopped {
-        /// The revision.
+        /// The store's revision of the rollout's order.
         order_revision: u64,
     },
     /// The store stopped answering.
@@ -56,66 +58,66 @@
     Tick,
 }
 
-/// What discovery did that is worth a log line.
+/// A change in discovery that is logged.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum DiscoveryLogEvent {
-    /// A configuration came into force.
+    /// A configuration became active.
     ConfigurationActivated {
-        /// Its version.
+        /// The version of the configuration.
         version: u64,
     },
-    /// An older configuration was left aside.
+    /// A configuration older than the active one was ignored.
     OlderConfigurationIgnored {
-        /// Its version.
+        /// The version of the ignored configuration.
         version: u64,
-        /// The version in force.
+        /// The version of the active configuration.
         in_force: u64,
     },
-    /// A replica came, or changed.
+    /// A replica was added or changed.
     ReplicaUpdated {
-        /// Its id.
+        /// The replica's id.
         id: EcoString,
-        /// Whether it is about to leave.
+        /// Whether the replica is draining.
         is_draining: bool,
     },
-    /// A replica's entry is gone.
+    /// A replica's entry was removed.
     ReplicaEntryRemoved {
-        /// Its id.
+        /// The replica's id.
         id: EcoString,
-        /// Whether it is kept for a while because the store was away.
+        /// Whether the replica is held because the store is or was recently unavailable.
         is_held: bool,
     },
-    /// An entry that a replica wrote before the one that is known was left aside.
+    /// An entry that a replica wrote before the known one was ignored.
     StaleEntryIgnored {
         /// The replica's id.
         id: EcoString,
     },
-    /// A failure domain was taken out or brought back.
+    /// A failure domain was taken out of service or brought back.
     DomainChanged {
-        /// Its name.
+        /// The name of the failure domain.
         domain: EcoString,
-        /// Whether it is out now.
+        /// Whether the failure domain is now out of service.
         is_out: bool,
     },
-    /// Operators order a roll-out, or take the order back.
+    /// Operators ordered a rollout or withdrew the order.
     RolloutOrderChanged {
         /// The service.
         service: EcoString,
-        /// The version to move to; `None` if the order is gone.
+        /// The version to move to; `None` if the order was withdrawn.
         target_version: Option<EcoString>,
     },
-    /// A roll-out went a step on.
+    /// A rollout changed its phase.
     RolloutAdvanced {
         /// The service.
         service: EcoString,
         /// The version to move to.
         target_version: EcoString,
-        /// How far it is.
+        /// The phase of the rollout.
         phase: RolloutPhase,
     },
-    /// A roll-out was stopped before the store says so.
+    /// A rollout was stopped before the store recorded it.
     RolloutStopped {
-        /// The store's revision of its order.
+        /// The store's revision of the rollout's order.
         order_revision: u64,
     },
 }
--- a/crates/sassafrasproxy-core/src/forward/registry/discovery/known_replica.rs
+++ b/crates/sassafrasproxy-core/src/forward/registry/discovery/known_replica.rs
@@ -1,44 +1,51 @@
-//! What is known of one replica.
+//! The state that discovery keeps of one replica.
 
 use std::sync::Arc;
 
 use sassafrasproxy_wire::ReplicaEntry;
 
-/// How far apart two words of a replica on the end of its cold time may lie without being news, in
-/// microseconds: entries reach nodes up to some tenths of a second late.
+/// The largest difference between two reported ends of a replica's cold start that does not count
+/// as a change, in microseconds.
+///
+/// Entries reach nodes up to a few tenths of a second late.
 const COLD_END_TOLERANCE_US: u64 = 500_000;
 
-/// A replica whose entry is listed, or was until lately.
+/// A replica whose entry is in the store, or was until recently.
 #[derive(Debug, Clone)]
 pub struct KnownReplica {
     pub entry: Arc<ReplicaEntry>,
+    /// The store's revision of the entry.
     pub revision: u64,
+    /// When this node received the entry.
     pub received_us: u64,
-    /// Until when the catalogue says that it is cold.
+    /// The end of the replica's cold start, as the catalogue reports it.
     pub cold_until_us: u64,
+    /// Whether the current or last list of the store contains the entry.
     pub is_listed: bool,
-    /// Set while the entry is gone but its replica may still be alive.
+    /// Until when the replica is held; set while its entry is gone but the replica may be alive.
     pub held_until_us: Option<u64>,
 }
 
 impl KnownReplica {
-    /// Whether an entry says of the replica what is known already.
+    /// Whether an entry brings no change that the catalogue must show.
     ///
-    /// A cold replica's entry changes with each heartbeat, as less of its time is left.
+    /// The entry of a cold replica changes with each heartbeat, because the remaining time of its
+    /// cold start decreases.
     pub fn is_unchanged_by(&self, now_us: u64, entry: &ReplicaEntry) -> bool {
-        let same = ReplicaEntry {
+        let known_entry = ReplicaEntry {
             sequence: entry.sequence,
             cold_for_ms: entry.cold_for_ms,
             ..ReplicaEntry::clone(&self.entry)
         };
-        let said_us = cold_until_us(now_us, entry);
-        // Warm before, and warm now.
+        let reported_until_us = cold_until_us(now_us, entry);
+        // The replica was warm before and is warm now.
         let is_warm = self.cold_until_us <= now_us && entry.cold_for_ms == 0;
-        same == *entry && (is_warm || said_us.abs_diff(self.cold_until_us) <= COLD_END_TOLERANCE_US)
+        known_entry == *entry
+            && (is_warm || reported_until_us.abs_diff(self.cold_until_us) <= COLD_END_TOLERANCE_US)
     }
 }
 
-/// Until when a replica is cold by its own word.
+/// Returns the end of a replica's cold start as its entry reports it, in microseconds.
 pub fn cold_until_us(now_us: u64, entry: &ReplicaEntry) -> u64 {
     now_us + entry.cold_for_ms * crate::US_PER_MS
 }
--- a/crates/sassafrasproxy-core/src/forward/registry/discovery/mod.rs
+++ b/crates/sassafrasproxy-core/src/forward/registry/discovery/mod.rs
@@ -1,4 +1,5 @@
-//! What a node knows of configuration, replicas and fellow nodes, from the store or from peers.
+//! Keeps a node's view of the configuration, replicas, registered nodes and rollouts, learned from
+//! the store or from peers.
 
 mod events;
 mod known_replica;
@@ -18,28 +19,30 @@
     RolloutState, RouteTable,
 };
 
-/// How long after the store's return a replica whose entry lapsed may take to be back, in
-/// microseconds: the store's operators promise about two seconds.
+/// How long a replica whose entry expired is held after the store recovers, in microseconds.
+///
+/// The store's operators promise that replicas register again within about two seconds.
 const REREGISTRATION_GRACE_US: u64 = 2_200_000;
 
-/// The discovery reducer.
+/// The state of discovery, which changes only by the events that it is given.
 #[derive(Debug, Default)]
 pub struct Discovery {
     configuration: Arc<RouteConfiguration>,
     routes: Arc<RouteTable>,
     services: Arc<IndexMap<EcoString, RoutedService>>,
     replicas: IndexMap<EcoString, KnownReplica>,
-    /// The newest entry seen of each replica, by start and sequence, also once it is gone.
+    /// The start time and sequence of the newest entry seen of each replica, kept after removal.
     ///
-    /// Guards against entries that reach the store late: a replica that said that it leaves would
-    /// seem ready again by what it wrote before.
+    /// An older entry that reaches the store late would otherwise make a draining replica look
+    /// ready again.
     newest_stamps: IndexMap<EcoString, (u64, u64)>,
-    /// Failure domains that are out, with the revision and whether the last list named them.
+    /// Failure domains that are out of service, each with the entry's revision and whether the
+    /// last list contained it.
     domains_out: IndexMap<EcoString, (u64, bool)>,
     nodes: IndexMap<EcoString, NodeRegistration>,
     rollouts: RolloutEntries,
     is_store_unavailable: bool,
-    /// Until when entries that are gone may still come back.
+    /// Until when replicas whose entries are gone are held, in microseconds.
     hold_until_us: u64,
     log_events: Vec<DiscoveryLogEvent>,
     is_catalogue_stale: bool,
@@ -47,12 +50,12 @@
 }
 
 impl Discovery {
-    /// Knows nothing yet; without a scope there are no roll-outs.
+    /// Creates an empty state; without a participant, there are no rollouts.
     pub fn new(scope: Option<RolloutParticipant>) -> Self {
         Self { rollouts: RolloutEntries::new(scope), ..Self::default() }
     }
 
-    /// Takes one event in.
+    /// Applies an event.
     pub fn step(&mut self, now_us: u64, event: DiscoveryEvent) {
         match event {
             DiscoveryEvent::ListStarted { revision } => {
@@ -60,19 +63,19 @@
                 self.change_log = ChangeLog::starting_after(revision);
                 self.start_list();
             }
-            DiscoveryEvent::EntrySeen { entry: fact, revision } => {
-                self.change_log.record(revision, fact.key());
-                self.apply_entry(now_us, fact, revision);
+            DiscoveryEvent::EntrySeen { entry, revision } => {
+                self.change_log.record(revision, entry.key());
+                self.apply_entry(now_us, entry, revision);
             }
-            DiscoveryEvent::EntryRemoved { key: subject, revision } => {
-                self.remove_entry(now_us, &subject, revision);
-                self.change_log.record(revision, subject);
+            DiscoveryEvent::EntryRemoved { key, revision } => {
+                self.remove_entry(now_us, &key, revision);
+                self.change_log.record(revision, key);
             }
             DiscoveryEvent::ListEnded => self.end_list(now_us),
-            DiscoveryEvent::PeerEntries { entries: facts, revision } => {
+            DiscoveryEvent::PeerEntries { entries, revision } => {
                 self.rollouts.record_initial_revision(revision);
                 self.change_log = ChangeLog::starting_after(revision);
-                self.apply_peer_entries(now_us, facts, revision);
+                self.apply_peer_entries(now_us, entries, revision);
             }
             DiscoveryEvent::HoldUntil { until_us } => {
                 self.hold_until_us = self.hold_until_us.max(until_us);
@@ -90,51 +93,51 @@
         }
     }
 
-    /// The notes since the last call.
+    /// Takes the log events since the last call.
     pub fn take_log_events(&mut self) -> Vec<DiscoveryLogEvent> {
         std::mem::take(&mut self.log_events)
     }
 
-    /// A new catalogue, if anything changed since the last.
+    /// Returns a new catalogue if anything in it changed since the last call.
     pub fn take_catalogue(&mut self) -> Option<Catalogue> {
         std::mem::take(&mut self.is_catalogue_stale).then(|| self.catalogue())
     }
 
-    /// The registered nodes.
+    /// Returns the registered nodes.
     pub fn nodes(&self) -> impl Iterator<Item = &NodeRegistration> {
         self.nodes.values()
     }
 
-    /// Whether a node's registration stands in the store.
+    /// Whether the store has a registration of a node, as far as this node knows.
     pub fn is_registered(&self, node: &str) -> bool {
         self.nodes.contains_key(node)
     }
 
-    /// When the next held replica is due, in microseconds.
+    /// Returns when the hold of the next replica ends, in microseconds; `None` if none is held.
     pub fn next_hold_expiry_us(&self) -> Option<u64> {
         self.replicas.values().filter_map(|replica| replica.held_until_us).min()
     }
 
-    /// The version of the configuration in force.
+    /// Returns the version of the active configuration.
     pub fn configuration_version(&self) -> u64 {
         self.configuration.version
     }
 
-    /// What changed after a revision; `None` if that is not remembered.
+    /// Returns the changes after a revision; `None` if the change log does not go back that far.
     pub fn changes_after(&self, revision: u64) -> Option<RegistryChanges> {
         let mut changes = RegistryChanges { updated: Vec::new(), removed: Vec::new() };
-        for (subject, at) in self.change_log.keys_changed_after(revision)? {
-            match self.entry(subject) {
-                Some(fact) => changes.updated.push((fact, at)),
-                None => changes.removed.push((subject.clone(), at)),
+        for (key, changed_at) in self.change_log.keys_changed_after(revision)? {
+            match self.entry(key) {
+                Some(entry) => changes.updated.push((entry, changed_at)),
+                None => changes.removed.push((key.clone(), changed_at)),
             }
         }
         Some(changes)
     }
 
-    /// What is known of a subject now.
-    fn entry(&self, subject: &RegistryKey) -> Option<RegistryEntry> {
-        match subject {
+    /// Returns the current entry of a key; `None` if there is none or its replica is held.
+    fn entry(&self, key: &RegistryKey) -> Option<RegistryEntry> {
+        match key {
             RegistryKey::Configuration => {
                 Some(RegistryEntry::Configuration((*self.configuration).clone()))
             }
@@ -156,55 +159,56 @@
         }
     }
 
-    /// All roll-outs, for the decider.
+    /// Returns the states of all rollouts, for the coordinator.
     pub fn rollouts(&self) -> Vec<RolloutState> {
         let is_configured = |service: &str| self.services.contains_key(service);
         self.rollouts.rollout_states(&self.catalogue_replicas(), is_configured)
     }
 
-    /// Until when entries that are gone may still come back, in microseconds.
+    /// Returns until when replicas whose entries are gone are held, in microseconds.
     pub fn hold_until_us(&self) -> u64 {
         self.hold_until_us
     }
 
-    /// Everything known, to tell a peer that cannot reach the store.
+    /// Returns all known entries with their revisions, for a peer that does not list the store.
     pub fn entries(&self) -> Vec<(RegistryEntry, u64)> {
-        let mut facts = Vec::new();
+        let mut entries = Vec::new();
         if self.configuration.version > 0 {
-            facts.push((RegistryEntry::Configuration((*self.configuration).clone()), 0));
+            entries.push((RegistryEntry::Configuration((*self.configuration).clone()), 0));
         }
-        let out = self.domains_out.iter();
-        facts.extend(
-            out.map(|(domain, (revision, _))| {
+        let domains_out = self.domains_out.iter();
+        entries.extend(
+            domains_out.map(|(domain, (revision, _))| {
                 (RegistryEntry::DomainOut(domain.clone()), *revision)
             }),
         );
         let present = self.replicas.values().filter(|replica| replica.held_until_us.is_none());
-        facts.extend(
+        entries.extend(
             present.map(|replica| {
                 (RegistryEntry::Replica((*replica.entry).clone()), replica.revision)
             }),
         );
-        // A node that does not find its own registration makes it again, which costs two calls.
-        facts.extend(self.nodes.values().map(|node| (RegistryEntry::Node(node.clone()), 0)));
-        facts.extend(self.rollouts.entries());
-        facts
+        // A node that does not find its own registration registers again, at a cost of two calls to
+        // the store.
+        entries.extend(self.nodes.values().map(|node| (RegistryEntry::Node(node.clone()), 0)));
+        entries.extend(self.rollouts.entries());
+        entries
     }
 
     fn catalogue(&self) -> Catalogue {
         let mut replicas = self.catalogue_replicas();
-        let trials = self.rollouts.restrict_replicas(&mut replicas);
+        let trial_grants = self.rollouts.restrict_replicas(&mut replicas);
         Catalogue {
             version: self.configuration.version,
             routes: self.routes.clone(),
             services: self.services.clone(),
             caller_limits: self.configuration.caller_limits,
             replicas,
-            trial_grants: trials,
+            trial_grants,
         }
     }
 
-    /// The replicas that may be used, whatever their version.
+    /// Returns the known replicas for the catalogue, before rollouts restrict them.
     fn catalogue_replicas(&self) -> IndexMap<EcoString, CatalogueReplica> {
         let replicas = self.replicas.iter().map(|(id, known)| {
             let is_out = self.domains_out.contains_key(&known.entry.failure_domain);
@@ -219,7 +223,7 @@
         replicas.collect()
     }
 
-    /// Gives replicas that are held the time to register again, from now.
+    /// Extends the holds when the store recovers, so that held replicas have time to register again.
     fn extend_holds(&mut self, now_us: u64) {
         if !std::mem::take(&mut self.is_store_unavailable) {
             return;
@@ -241,54 +245,61 @@
         let domains = self.domains_out.iter().filter(|(_, (_, is_listed))| !is_listed);
         let domains: Vec<EcoString> = domains.map(|(domain, _)| domain.clone()).collect();
         for domain in domains {
-            self.bring_domain_in(&domain);
+            self.bring_domain_back(&domain);
         }
         let missing = self.replicas.iter().filter(|(_, replica)| !replica.is_listed);
         let missing: Vec<EcoString> = missing.map(|(id, _)| id.clone()).collect();
         for id in missing {
             self.remove_or_hold_replica(now_us, &id);
         }
-        for subject in self.rollouts.unlisted() {
-            self.remove_entry(now_us, &subject, u64::MAX);
+        for key in self.rollouts.unlisted() {
+            self.remove_entry(now_us, &key, u64::MAX);
         }
     }
 
-    /// Takes a peer's facts in, and lets go what the peer, knowing more, does not name.
-    fn apply_peer_entries(&mut self, now_us: u64, facts: Vec<(RegistryEntry, u64)>, revision: u64) {
-        let named: IndexSet<RegistryKey> = facts.iter().map(|(fact, _)| fact.key()).collect();
-        for (fact, revision) in facts {
-            self.apply_entry(now_us, fact, revision);
+    /// Applies a peer's entries, and removes what the peer does not list.
+    ///
+    /// Only entries that are older than the peer's revision are removed; the peer may not have seen
+    /// newer ones yet.
+    fn apply_peer_entries(
+        &mut self,
+        now_us: u64,
+        entries: Vec<(RegistryEntry, u64)>,
+        revision: u64,
+    ) {
+        let listed: IndexSet<RegistryKey> = entries.iter().map(|(entry, _)| entry.key()).collect();
+        for (entry, revision) in entries {
+            self.apply_entry(now_us, entry, revision);
         }
-        let is_dropped =
-            |subject: RegistryKey, known: u64| known < revision && !named.contains(&subject);
+        let is_removed = |key: RegistryKey, known: u64| known < revision && !listed.contains(&key);
         let domains = self.domains_out.iter();
-        let back: Vec<EcoString> = domains
+        let brought_back: Vec<EcoString> = domains
             .filter(|(domain, (known, _))| {
-                is_dropped(RegistryKey::DomainOut((*domain).clone()), *known)
+                is_removed(RegistryKey::DomainOut((*domain).clone()), *known)
             })
             .map(|(domain, _)| domain.clone())
             .collect();
         let replicas = self.replicas.iter();
-        let gone: Vec<EcoString> = replicas
-            .filter(|(id, known)| is_dropped(RegistryKey::Replica((*id).clone()), known.revision))
+        let removed: Vec<EcoString> = replicas
+            .filter(|(id, known)| is_removed(RegistryKey::Replica((*id).clone()), known.revision))
             .map(|(id, _)| id.clone())
             .collect();
-        for domain in back {
-            self.bring_domain_in(&domain);
+        for domain in brought_back {
+            self.bring_domain_back(&domain);
         }
-        for id in gone {
+        for id in removed {
             self.remove_replica(id);
         }
         let rollouts: Vec<(RegistryKey, u64)> = self.rollouts.keys().collect();
-        for (subject, known) in rollouts {
-            if is_dropped(subject.clone(), known) {
-                self.remove_entry(now_us, &subject, revision);
+        for (key, known) in rollouts {
+            if is_removed(key.clone(), known) {
+                self.remove_entry(now_us, &key, revision);
             }
         }
     }
 
-    fn apply_entry(&mut self, now_us: u64, fact: RegistryEntry, revision: u64) {
-        match fact {
+    fn apply_entry(&mut self, now_us: u64, entry: RegistryEntry, revision: u64) {
+        match entry {
             RegistryEntry::Configuration(configuration) => self.apply_configuration(configuration),
             RegistryEntry::DomainOut(domain) => self.take_domain_out(domain, revision),
             RegistryEntry::Replica(entry) => self.apply_replica(now_us, entry, revision),
@@ -305,20 +316,20 @@
                 }
             }
             RegistryEntry::RolloutRecord(record) => {
-                let note = DiscoveryLogEvent::RolloutAdvanced {
+                let log_event = DiscoveryLogEvent::RolloutAdvanced {
                     service: record.service.clone(),
                     target_version: record.target_version.clone(),
                     phase: record.phase,
                 };
                 if self.rollouts.apply_record(record, revision) {
-                    self.log_events.push(note);
+                    self.log_events.push(log_event);
                     self.is_catalogue_stale = true;
                 }
             }
         }
     }
 
-    /// Takes a configuration that is newer than the one in force, and only such a one.
+    /// Activates a configuration if it is newer than the active one.
     fn apply_configuration(&mut self, configuration: RouteConfiguration) {
         let (version, in_force) = (configuration.version, self.configuration.version);
         if version <= in_force {
@@ -343,7 +354,7 @@
         }
     }
 
-    fn bring_domain_in(&mut self, domain: &EcoString) {
+    fn bring_domain_back(&mut self, domain: &EcoString) {
         if self.domains_out.shift_remove(domain).is_some() {
             self.log_events
                 .push(DiscoveryLogEvent::DomainChanged { domain: domain.clone(), is_out: false });
@@ -392,13 +403,13 @@
         self.is_catalogue_stale = true;
     }
 
-    fn remove_entry(&mut self, now_us: u64, subject: &RegistryKey, revision: u64) {
-        match subject {
-            // The configuration in force stays: it never goes back, not even to none.
+    fn remove_entry(&mut self, now_us: u64, key: &RegistryKey, revision: u64) {
+        match key {
+            // The active configuration stays: it never reverts to an older one or to none.
             RegistryKey::Configuration => {}
             RegistryKey::DomainOut(domain) => {
                 if self.domains_out.get(domain).is_some_and(|(known, _)| revision >= *known) {
-                    self.bring_domain_in(domain);
+                    self.bring_domain_back(domain);
                 }
             }
             RegistryKey::Replica(id) => {
@@ -424,11 +435,11 @@
         }
     }
 
-    /// Lets a replica go, or keeps it for a while if its entry may have lapsed with the store.
+    /// Removes a replica, or holds it if its entry may have expired in an outage of the store.
     ///
-    /// Guards against an outage of the store in which live replicas could not renew their
-    /// entries: all entries are gone at once when it returns, and dropping their replicas would
-    /// refuse every request for the two seconds until they have registered again.
+    /// During an outage, live replicas cannot renew their entries, so all entries are gone when the
+    /// store recovers. Removing these replicas would reject every request for the two seconds until
+    /// they have registered again.
     fn remove_or_hold_replica(&mut self, now_us: u64, id: &EcoString) {
         let Some(known) = self.replicas.get_mut(id) else { return };
         let is_held =
@@ -449,14 +460,16 @@
         self.is_catalogue_stale = true;
     }
 
-    /// Lets held replicas go that did not register again in time.
+    /// Removes held replicas that did not register again in time.
     fn remove_expired_holds(&mut self, now_us: u64) {
         if self.is_store_unavailable {
             return;
         }
-        let due = |replica: &KnownReplica| replica.held_until_us.is_some_and(|at| at <= now_us);
-        let held = self.replicas.iter().filter(|(_, replica)| due(replica));
-        let ids: Vec<EcoString> = held.map(|(id, _)| id.clone()).collect();
+        let is_expired = |replica: &KnownReplica| {
+            replica.held_until_us.is_some_and(|until_us| until_us <= now_us)
+        };
+        let expired = self.replicas.iter().filter(|(_, replica)| is_expired(replica));
+        let ids: Vec<EcoString> = expired.map(|(id, _)| id.clone()).collect();
         for id in ids {
             self.remove_replica(id);
         }
