--- a/crates/sassafrasproxy-core/src/forward/registry/broadcast_queue.rs
+++ b/crates/sassafrasproxy-core/src/forward/registry/broadcast_queue.rs
@@ -1,19 +1,19 @@
-//! What one node saw, on its way to all nodes.
+//! Queues short reports that gossip passes on to all nodes.
 
 use std::hash::Hash;
 
 use indexmap::IndexMap;
 
-/// How many of a node's datagrams carry a piece of news.
+/// The number of a node's datagrams that carry an item.
 const TRANSMITS_PER_ITEM: u32 = 24;
 
-/// How long a piece of news is remembered, in microseconds, so that it is passed on once.
+/// How long an item is kept, in microseconds, so that a node does not queue it again.
 const RETENTION_US: u64 = 30_000_000;
 
-/// How many pieces of news a datagram carries at the most.
+/// The maximum number of items in a datagram.
 const MAX_ITEMS_PER_DATAGRAM: usize = 16;
 
-/// The news of one kind that this node saw or heard of.
+/// A queue of the items of one kind that this node reported or received.
 #[derive(Debug)]
 pub struct BroadcastQueue<T> {
     items: IndexMap<T, Broadcast>,
@@ -32,23 +32,24 @@
 }
 
 impl<T: Copy + Eq + Hash> BroadcastQueue<T> {
-    /// Takes news in; what is known is not passed on again.
-    pub fn enqueue(&mut self, now_us: u64, heard: &[T]) {
-        self.items.retain(|_, passing| now_us < passing.expires_us);
-        for one in heard {
-            let passing =
+    /// Adds items; those that are already kept are not queued again.
+    pub fn enqueue(&mut self, now_us: u64, items: &[T]) {
+        self.items.retain(|_, broadcast| now_us < broadcast.expires_us);
+        for item in items {
+            let broadcast =
                 Broadcast { expires_us: now_us + RETENTION_US, transmits_left: TRANSMITS_PER_ITEM };
-            self.items.entry(*one).or_insert(passing);
+            self.items.entry(*item).or_insert(broadcast);
         }
     }
 
-    /// The news for one datagram.
+    /// Takes the items for one datagram, and counts the datagram against their transmits.
     pub fn take_batch(&mut self, now_us: u64) -> Vec<T> {
-        let passing = self.items.iter_mut();
-        let due = passing.filter(|(_, one)| one.transmits_left > 0 && now_us < one.expires_us);
-        let taken = due.take(MAX_ITEMS_PER_DATAGRAM).map(|(news, one)| {
-            one.transmits_left -= 1;
-            *news
+        let items = self.items.iter_mut();
+        let due = items
+            .filter(|(_, broadcast)| broadcast.transmits_left > 0 && now_us < broadcast.expires_us);
+        let taken = due.take(MAX_ITEMS_PER_DATAGRAM).map(|(item, broadcast)| {
+            broadcast.transmits_left -= 1;
+            *item
         });
         taken.collect()
     }
--- a/crates/sassafrasproxy-core/src/forward/registry/entries.rs
+++ b/crates/sassafrasproxy-core/src/forward/registry/entries.rs
@@ -1,4 +1,4 @@
-//! What can be known from the store, and what of it changed lately.
+//! Defines the entries of the store, decoded, and a log of their recent changes.
 
 use std::collections::VecDeque;
 
@@ -9,17 +9,19 @@
 
 use crate::{RolloutOrder, RolloutRecord};
 
-/// How many changes are remembered for peers: some times as many as a fleet's replicas, so that
-/// a whole set of shards that comes and another that goes are still told as changes.
+/// The maximum number of changes kept for peers.
+///
+/// This is several times the number of replicas in a fleet, so that peers still get the changes
+/// alone when one whole set of shards is replaced by another.
 const MAX_LOGGED_CHANGES: usize = 2_048;
 
-/// Something that stands in the store.
+/// A decoded entry of the store.
 #[derive(Debug, Clone, PartialEq)]
 #[derive(Serialize, Deserialize)]
 pub enum RegistryEntry {
-    /// The newest configuration.
+    /// The latest configuration.
     Configuration(RouteConfiguration),
-    /// A failure domain is out.
+    /// A failure domain, by name, that is out of service.
     DomainOut(EcoString),
     /// A replica's entry.
     Replica(ReplicaEntry),
@@ -27,28 +29,29 @@
     Node(NodeRegistration),
     /// An order to move a service to another version.
     RolloutOrder(RolloutOrder),
-    /// What the nodes have agreed on about such an order.
+    /// The recorded progress of a rollout order, shared by all nodes.
     RolloutRecord(RolloutRecord),
 }
 
-/// What a node registers, so that others find it.
+/// The registration by which other nodes find a node.
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct NodeRegistration {
     /// The node as a member.
     pub member: MemberUpdate,
-    /// How many nodes it knew, so that one that starts does not take the fleet for small.
+    /// The number of nodes that the node knew, so that a node that starts does not assume a small
+    /// fleet.
     #[serde(default)]
     pub node_count: u32,
 }
 
-/// What a fact is about.
+/// The key of a registry entry.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 #[derive(Serialize, Deserialize)]
 pub enum RegistryKey {
     /// The configuration.
     Configuration,
-    /// Whether a failure domain is out.
+    /// Whether a failure domain is out of service, by name.
     DomainOut(EcoString),
     /// A replica, by id.
     Replica(EcoString),
@@ -56,12 +59,12 @@
     Node(EcoString),
     /// The order to move a service to another version, by service.
     RolloutOrder(EcoString),
-    /// What the nodes have agreed on about it, by service.
+    /// The recorded progress of the service's rollout order, by service.
     RolloutRecord(EcoString),
 }
 
 impl RegistryEntry {
-    /// What the fact is about.
+    /// Returns the key of the entry.
     pub fn key(&self) -> RegistryKey {
         match self {
             Self::Configuration(_) => RegistryKey::Configuration,
@@ -74,47 +77,47 @@
     }
 }
 
-/// The subjects that changed lately, so that peers need not be told everything each time.
+/// The recent changes, from which peers are sent only what changed instead of all entries.
 #[derive(Debug, Default)]
 pub struct ChangeLog {
-    /// Oldest first, by the store's revision of the change.
+    /// The changed keys, oldest first, each with the store's revision of the change.
     changes: VecDeque<(u64, RegistryKey)>,
-    /// The revision from which on the log is complete; `None` before the first list.
+    /// The revision after which the log is complete; `None` before the first list.
     complete_after_revision: Option<u64>,
 }
 
-/// What changed after a revision.
+/// The changes after a revision.
 #[derive(Debug, Clone, PartialEq)]
 #[derive(Serialize, Deserialize)]
 pub struct RegistryChanges {
-    /// Facts that came or changed, each with its revision.
+    /// Entries that were added or changed, each with its revision.
     pub updated: Vec<(RegistryEntry, u64)>,
-    /// Subjects that are gone, each with the revision of its removal.
+    /// Keys whose entries are gone, each with the revision of the removal.
     pub removed: Vec<(RegistryKey, u64)>,
 }
 
 impl ChangeLog {
-    /// An empty log that is complete after a revision.
+    /// Creates an empty log that is complete after a revision.
     pub fn starting_after(revision: u64) -> Self {
         Self { changes: VecDeque::new(), complete_after_revision: Some(revision) }
     }
 
-    /// The subjects that changed after a revision, each with its last change; `None` if that is
-    /// not remembered.
+    /// Returns the keys that changed after a revision, each with the revision of its last change;
+    /// `None` if the log does not go back that far.
     pub fn keys_changed_after(&self, revision: u64) -> Option<IndexMap<&RegistryKey, u64>> {
         if self.complete_after_revision? > revision {
             return None;
         }
-        let after = self.changes.iter().filter(|(at, _)| *at > revision);
-        Some(after.map(|(at, subject)| (subject, *at)).collect())
+        let after = self.changes.iter().filter(|(changed_at, _)| *changed_at > revision);
+        Some(after.map(|(changed_at, key)| (key, *changed_at)).collect())
     }
 
-    /// Notes a change.
-    pub fn record(&mut self, revision: u64, subject: RegistryKey) {
+    /// Records a change.
+    pub fn record(&mut self, revision: u64, key: RegistryKey) {
         if self.changes.len() >= MAX_LOGGED_CHANGES {
             let oldest = self.changes.pop_front().map(|(revision, _)| revision);
             self.complete_after_revision = self.complete_after_revision.max(oldest);
         }
-        self.changes.push_back((revision, subject));
+        self.changes.push_back((revision, key));
     }
 }
--- a/crates/sassafrasproxy-core/src/forward/registry/gossip/mod.rs
+++ b/crates/sassafrasproxy-core/src/forward/registry/gossip/mod.rs
@@ -1,8 +1,9 @@
-//! Who is there: heartbeats between nodes over datagrams, in the manner of SWIM.
+//! Keeps the membership of the nodes by heartbeats over datagrams, similar to SWIM.
 //!
-//! A heartbeat says whether its sender is alive, and a hash of the members that it knows. Only nodes
-//! whose hashes differ tell each other more: first what changed lately, then, by digests, what else
-//! differs. So a fleet in calm pays for its probes alone, however large it is.
+//! A heartbeat shows that its sender is alive and carries a hash of the members that the sender
+//! knows. Only nodes whose hashes differ exchange more: first the recent changes, then, by digests,
+//! all other differences. While nothing changes, a node's traffic thus consists of its probes only,
+//! whatever the size of the fleet.
 
 mod policy;
 mod roles;
@@ -24,83 +25,89 @@
 
 pub use self::policy::GossipPolicy;
 
-/// How many datagrams probe a member once more that missed its last probe.
+/// The number of datagrams that are sent to probe a member again after a missed probe.
 const RETRY_PROBE_COPIES: usize = 2;
 
-/// How many members of a failure domain must be suspected before others of it are probed.
+/// The number of suspected members in a failure domain at which its other members are probed.
 const MIN_DOMAIN_SUSPECTS: usize = 2;
 
-/// How many of these are probed at a tick.
+/// The maximum number of members of such failure domains that are probed per tick.
 const MAX_SUSPECT_DOMAIN_PROBES: usize = 2;
 
-/// How many peers hear at once that a member is suspected or leaves; they pass it on.
+/// The number of peers that are notified at once that a member is suspected or leaving; they pass
+/// it on.
 const URGENT_FANOUT: usize = 3;
 
-/// How many such changes go with one datagram: a failure domain's, as far as they fit.
+/// The maximum number of urgent updates in a datagram.
+///
+/// A loss of a failure domain is thus sent whole, as far as the datagram's size permits.
 const MAX_URGENT_UPDATES: usize = 64;
 
-/// How many recent changes go with one datagram of an exchange.
+/// The maximum number of recent updates in a datagram of an exchange.
 const MAX_RECENT_UPDATES: usize = 12;
 
-/// How far apart a node tells such changes, in microseconds, so that many share a datagram.
+/// The minimum interval between urgent notices of a node, in microseconds.
+///
+/// Changes within an interval share a datagram.
 const URGENT_INTERVAL_US: u64 = 100_000;
 
-/// How many peers hear at once of what cannot wait; they pass it on.
+/// The number of peers that are notified at once of an event that cannot wait; they pass it on.
 const NOTICE_FANOUT: usize = 24;
 
-/// How many addresses that are no member's are tried at a tick.
+/// The maximum number of seeds that are not yet members that are probed per tick.
 const MAX_SEED_PROBES: usize = 8;
 
-/// Each how many ticks a node that has just started probes any member, besides those near it.
+/// The number of ticks between probes to members of any failure domain, for a node that has just
+/// started and otherwise probes its own failure domain.
 const ANY_DOMAIN_PROBE_INTERVAL_TICKS: u64 = 3;
 
-/// How many members share a digest.
+/// The number of members that share a digest.
 const MEMBERS_PER_DIGEST: usize = 2;
 
-/// The most digests in a datagram: a quarter of its room.
+/// The maximum number of digests in a datagram; they take up a quarter of its size.
 const MAX_DIGESTS: usize = 64;
 
-/// What gossip asks its shell to send.
+/// A datagram that the caller of `Gossip` has to send.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct OutgoingDatagram {
-    /// Where to.
+    /// The peer address to send to.
     pub peer_address: EcoString,
-    /// What.
+    /// The datagram to send.
     pub datagram: PeerDatagram,
 }
 
 /// A change of a member's state, for the log.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct MemberLogEvent {
-    /// The member.
+    /// The name of the member.
     pub node: EcoString,
-    /// Its new state.
+    /// The member's new state.
     pub state: MemberState,
 }
 
-/// The membership of one node.
+/// A node's view of the members, and the state of its exchanges with peers.
 #[derive(Debug)]
 pub struct Gossip {
     policy: GossipPolicy,
     rng: StdRng,
     members: MemberTable,
-    /// Peer addresses to try that are no member's.
+    /// The peer addresses through which members are found, except this node's own.
     seeds: IndexSet<EcoString>,
     probes: ProbeTracker,
     recent_updates: RecentUpdates,
     source_selector: SourceSelector,
     started_us: u64,
     ticks: u64,
-    /// Whether the last peer that was heard knew other members than this node.
+    /// Whether the last datagram received came from a peer with a different view of the members.
     views_differ: bool,
-    /// Whether a member is suspected or leaves, and peers were not told yet.
+    /// Whether a member became suspected or leaving and peers were not notified yet.
     has_urgent_changes: bool,
-    /// When peers were last told so.
+    /// When peers were last notified of urgent changes.
     last_urgent_us: u64,
-    /// How far this node follows the store.
+    /// The revision of the store up to which this node has synced.
     store_revision: u64,
     is_store_unavailable: bool,
-    /// Never below `store_revision`.
+    /// The latest revision that any node is known to have synced to; never below `store_revision`.
     latest: LatestRevision,
     log_events: Vec<MemberLogEvent>,
     crash_reports: BroadcastQueue<CrashReport>,
@@ -108,9 +115,9 @@
 }
 
 impl Gossip {
-    /// A membership of this node only.
+    /// Creates a view that contains this node only.
     pub fn new(
-        me: &MemberUpdate,
+        local_member: &MemberUpdate,
         seeds: impl IntoIterator<Item = EcoString>,
         policy: GossipPolicy,
         seed: u64,
@@ -119,7 +126,7 @@
         let mut gossip = Self {
             policy,
             rng: StdRng::seed_from_u64(seed),
-            members: MemberTable::new(me, now_us),
+            members: MemberTable::new(local_member, now_us),
             seeds: seeds.into_iter().collect(),
             probes: ProbeTracker::default(),
             recent_updates: RecentUpdates::default(),
@@ -136,44 +143,48 @@
             crash_reports: BroadcastQueue::default(),
             stopped_rollouts: BroadcastQueue::default(),
         };
-        gossip.seeds.swap_remove(&me.peer_address);
+        gossip.seeds.swap_remove(&local_member.peer_address);
         gossip.record_recent_updates(now_us, true);
         gossip
     }
 
-    /// Sets how far this node follows the store.
+    /// Sets the revision of the store up to which this node has synced; a lower one has no effect.
     pub fn set_store_revision(&mut self, store_revision: u64) {
         self.store_revision = self.store_revision.max(store_revision);
         let peer_address = self.members.local_member().peer_address.clone();
         self.update_latest(&LatestRevision { revision: self.store_revision, peer_address });
     }
 
-    /// Sets whether the store turns this node away.
-    pub fn set_store_unavailable(&mut self, is_away: bool) {
-        self.is_store_unavailable = is_away;
+    /// Sets whether the store is unavailable to this node.
+    pub fn set_store_unavailable(&mut self, is_unavailable: bool) {
+        self.is_store_unavailable = is_unavailable;
     }
 
-    /// Adds a peer address to try.
+    /// Adds a peer address to probe until it is a member's.
     pub fn add_seed(&mut self, peer_address: EcoString) {
         if self.members.local_member().peer_address != peer_address {
             self.seeds.insert(peer_address);
         }
     }
 
-    /// The time until the next tick, in microseconds.
+    /// Returns the time until the next tick, in microseconds.
     pub fn tick_delay_us(&self, now_us: u64) -> u64 {
         let is_alone =
             now_us < self.started_us + self.policy.isolated_wait_us && self.node_count() == 1;
-        let is_hurried = is_alone || (self.is_starting(now_us) && self.views_differ);
-        if is_hurried { self.policy.startup_tick_interval_us } else { self.policy.tick_interval_us }
+        let is_startup_pace = is_alone || (self.is_starting(now_us) && self.views_differ);
+        if is_startup_pace {
+            self.policy.startup_tick_interval_us
+        } else {
+            self.policy.tick_interval_us
+        }
     }
 
-    /// Changes whenever a member does.
+    /// Returns a hash that changes whenever a member changes.
     pub fn members_hash(&self) -> u64 {
         self.members.members_hash()
     }
 
-    /// Takes the passing of a tick in, and returns what to send.
+    /// Advances by one tick, and returns the datagrams to send.
     pub fn tick(&mut self, now_us: u64) -> Vec<OutgoingDatagram> {
         self.suspect_unresponsive(now_us);
         let changes = self.members.expire(
@@ -182,17 +193,17 @@
             self.policy.dead_retention_us,
         );
         self.record_changes(now_us, changes);
-        let again = self.probes.retry_missed(now_us, &self.members);
+        let retries = self.probes.retry_missed(now_us, &self.members);
         let mut targets = IndexSet::new();
-        let is_hurried = self.is_starting(now_us) && self.views_differ;
-        if is_hurried {
+        let is_startup_pace = self.is_starting(now_us) && self.views_differ;
+        if is_startup_pace {
             targets.extend(self.same_domain_peers(self.policy.startup_probes_per_tick));
         }
         self.ticks += 1;
-        let is_far_due = !is_hurried
+        let is_any_domain_due = !is_startup_pace
             || targets.is_empty()
             || self.ticks.is_multiple_of(ANY_DOMAIN_PROBE_INTERVAL_TICKS);
-        let probes = if is_far_due { self.policy.probes_per_tick } else { 0 };
+        let probes = if is_any_domain_due { self.policy.probes_per_tick } else { 0 };
         for _ in 0..probes {
             let Some(member) = self.members.next_probe_target(&mut self.rng) else { break };
             targets.insert(member.peer_address.clone());
@@ -202,16 +213,16 @@
             self.probes.record_sent(now_us, member.node);
             targets.insert(member.peer_address);
         }
-        let copies = std::iter::repeat_n(again, RETRY_PROBE_COPIES).flatten();
+        let retries = std::iter::repeat_n(retries, RETRY_PROBE_COPIES).flatten();
         let mut sends: Vec<OutgoingDatagram> =
-            targets.into_iter().chain(copies).map(|to| self.probe(now_us, to)).collect();
-        if is_hurried {
+            targets.into_iter().chain(retries).map(|address| self.probe(now_us, address)).collect();
+        if is_startup_pace {
             for send in &mut sends {
                 send.datagram.digests = Some(self.digests(None));
             }
         }
-        for stranger in self.unknown_seeds() {
-            let mut introduction = self.probe(now_us, stranger);
+        for seed in self.unknown_seeds() {
+            let mut introduction = self.probe(now_us, seed);
             introduction.datagram.fill([GossipUpdate::full(self.members.local_member())]);
             sends.push(introduction);
         }
@@ -219,15 +230,15 @@
         sends
     }
 
-    /// Takes a datagram in, and returns what to send.
+    /// Applies a datagram received from `peer_address`, and returns the datagrams to send.
     pub fn receive(
         &mut self,
         now_us: u64,
         peer_address: &str,
         datagram: &PeerDatagram,
     ) -> Vec<OutgoingDatagram> {
-        for news in &datagram.updates {
-            self.apply_update(now_us, news);
+        for update in &datagram.updates {
+            self.apply_update(now_us, update);
         }
         self.process_sender(now_us, datagram);
         self.crash_reports.enqueue(now_us, &datagram.crash_reports);
@@ -235,21 +246,21 @@
         let mut sends = self.send_urgent(now_us);
         sends.extend(self.reply(now_us, peer_address, datagram));
         if self.is_store_unavailable && !datagram.trial_reports.is_empty() {
-            // The sender hears that this node cannot decide, and reports to another.
+            // Tells the sender that this node cannot coordinate, so that it reports to another.
             let datagram = self.datagram(now_us, DatagramKind::Notice);
             sends.push(OutgoingDatagram { peer_address: peer_address.into(), datagram });
         }
         sends
     }
 
-    /// The answer to a datagram if it is owed one.
+    /// Returns the reply to a datagram; `None` if the exchange ends with the datagram.
     fn reply(
         &mut self,
         now_us: u64,
         peer_address: &str,
         datagram: &PeerDatagram,
     ) -> Option<OutgoingDatagram> {
-        let from = &datagram.sender;
+        let sender = &datagram.sender;
         let is_introduction = !datagram.updates.is_empty();
         self.views_differ = datagram.members_hash != self.members.members_hash();
         let is_probe = datagram.kind == DatagramKind::Probe;
@@ -261,19 +272,20 @@
         if !self.views_differ {
             return Some(OutgoingDatagram { peer_address: peer_address.into(), datagram: reply });
         }
-        // A node that is thought dead or suspected learns so at once, and refutes it.
-        let known = self.members.member(&from.node);
-        let wrong = known.filter(|known| known.state != from.state).map(GossipUpdate::state_only);
-        reply.fill(wrong);
+        // A sender that this node holds to be suspected or dead learns so at once and can refute it.
+        let known = self.members.member(&sender.node);
+        let outdated =
+            known.filter(|known| known.state != sender.state).map(GossipUpdate::state_only);
+        reply.fill(outdated);
         if is_probe && is_introduction {
             reply.fill([GossipUpdate::full(self.members.local_member())]);
         }
         if datagram.digests.is_some() || kind != DatagramKind::Answer {
-            let part = datagram.digests.as_ref().map(|theirs| (theirs.part, theirs.parts));
+            let part = datagram.digests.as_ref().map(|digests| (digests.part, digests.parts));
             reply.digests = Some(self.digests(part));
         }
         match &datagram.digests {
-            Some(theirs) => self.fill_differing(&mut reply, theirs),
+            Some(digests) => self.fill_differing(&mut reply, digests),
             None => reply.fill(self.recent_updates.updates_since(
                 now_us,
                 0,
@@ -284,20 +296,21 @@
         Some(OutgoingDatagram { peer_address: peer_address.into(), datagram: reply })
     }
 
-    /// Announces that this node is leaving, to some peers at once, which pass it on.
+    /// Announces to some peers at once that this node is leaving; they pass it on.
     pub fn leave(&mut self, now_us: u64) -> Vec<OutgoingDatagram> {
         self.members.leave(now_us);
         self.record_recent_updates(now_us, false);
         self.notify(now_us, now_us, NOTICE_FANOUT)
     }
 
-    /// Tells some peers at once that a replica died under a request; they pass it on.
+    /// Reports to some peers at once that a replica crashed while it processed a request; they pass
+    /// it on.
     pub fn report_crash(&mut self, now_us: u64, report: CrashReport) -> Vec<OutgoingDatagram> {
         self.crash_reports.enqueue(now_us, &[report]);
         self.notify(now_us, now_us, NOTICE_FANOUT)
     }
 
-    /// Tells some peers at once that a roll-out was stopped; they pass it on.
+    /// Announces to some peers at once that a rollout was stopped; they pass it on.
     pub fn announce_rollout_stop(
         &mut self,
         now_us: u64,
@@ -307,12 +320,12 @@
         self.notify(now_us, now_us, NOTICE_FANOUT)
     }
 
-    /// The changes of members since the last call.
+    /// Takes the changes of members since the last call.
     pub fn take_log_events(&mut self) -> Vec<MemberLogEvent> {
         std::mem::take(&mut self.log_events)
     }
 
-    /// All members that are not dead, this node included, as the directory needs them.
+    /// Returns all members that are not dead, including this node, for the directory.
     pub fn directory_nodes(&self) -> Vec<DirectoryNode> {
         let node = |member: &Member| DirectoryNode {
             address: member.address.clone(),
@@ -324,12 +337,12 @@
         self.members.present().map(node).collect()
     }
 
-    /// How many nodes may be sending to upstreams.
+    /// Returns the number of nodes that may send to upstreams: the members that are not dead.
     pub fn node_count(&self) -> usize {
         self.members.present().count()
     }
 
-    /// Whether a peer address is that of a member that is not suspected and does not leave.
+    /// Whether a peer address belongs to a member that is alive: not suspected, leaving or dead.
     pub fn is_alive(&self, peer_address: &str) -> bool {
         self.members
             .by_peer_address(peer_address)
@@ -340,22 +353,22 @@
         now_us < self.started_us + self.policy.startup_us && self.node_count() > 1
     }
 
-    fn update_latest(&mut self, heard: &LatestRevision) {
-        if heard.revision >= self.latest.revision {
-            self.latest = heard.clone();
+    fn update_latest(&mut self, latest: &LatestRevision) {
+        if latest.revision >= self.latest.revision {
+            self.latest = latest.clone();
         }
     }
 
-    /// Takes in what a datagram says of its sender.
+    /// Applies what a datagram says about its sender.
     fn process_sender(&mut self, now_us: u64, datagram: &PeerDatagram) {
-        let from = &datagram.sender;
-        if let Some(known) = self.members.member(&from.node) {
-            let incarnation = from.incarnation;
-            let update = MemberUpdate { incarnation, state: from.state, ..known.to_update() };
+        let sender = &datagram.sender;
+        if let Some(known) = self.members.member(&sender.node) {
+            let incarnation = sender.incarnation;
+            let update = MemberUpdate { incarnation, state: sender.state, ..known.to_update() };
             self.merge(now_us, &update);
             self.source_selector.set_store_unavailable(
                 now_us,
-                &from.node,
+                &sender.node,
                 datagram.is_store_unavailable,
             );
         }
@@ -363,14 +376,14 @@
         if !is_own && datagram.latest.revision > self.latest.revision {
             self.update_latest(&datagram.latest);
         }
-        self.probes.record_heard(&from.node);
+        self.probes.record_heard(&sender.node);
     }
 
-    fn apply_update(&mut self, now_us: u64, news: &GossipUpdate) {
-        match news {
+    fn apply_update(&mut self, now_us: u64, update: &GossipUpdate) {
+        match update {
             GossipUpdate::Full(member) => self.merge(now_us, &member.to_update()),
             GossipUpdate::StateOnly { name_hash, incarnation, state } => {
-                // A member that is not known yet comes whole once the digests were compared.
+                // The full record of an unknown member follows once digests have been compared.
                 let Some(known) = self.members.by_name_hash(*name_hash) else { return };
                 let (incarnation, state) = (*incarnation, *state);
                 let update = MemberUpdate { incarnation, state, ..known.to_update() };
@@ -380,51 +393,53 @@
     }
 
     fn merge(&mut self, now_us: u64, update: &MemberUpdate) {
-        let is_same_place = |known: &Member| {
+        let is_same_record = |known: &Member| {
             let (incarnation, state) = (update.incarnation, update.state);
             MemberUpdate { incarnation, state, ..known.to_update() } == *update
         };
-        let is_whole = !self.members.member(&update.node).is_some_and(is_same_place);
+        let is_full = !self.members.member(&update.node).is_some_and(is_same_record);
         let change = self.members.merge(now_us, update);
         self.log_changes(change);
-        self.record_recent_updates(now_us, is_whole);
+        self.record_recent_updates(now_us, is_full);
     }
 
-    /// Some peers of this node's failure domain, by chance.
+    /// Returns random peers of this node's failure domain.
     ///
-    /// A node that starts learns most of the members from these, so that few bytes cross.
+    /// A node that starts learns most of the members from these, so that little traffic crosses
+    /// failure domains.
     fn same_domain_peers(&mut self, count: usize) -> Vec<EcoString> {
         let domain = self.members.local_member().domain_hash;
-        let near = self.members.peers().filter(|one| one.domain_hash == domain);
-        let near: Vec<&EcoString> = near.map(|one| &one.peer_address).collect();
-        near.sample(&mut self.rng, count).map(|address| (*address).clone()).collect()
+        let peers = self.members.peers().filter(|member| member.domain_hash == domain);
+        let addresses: Vec<&EcoString> = peers.map(|member| &member.peer_address).collect();
+        addresses.sample(&mut self.rng, count).map(|address| (*address).clone()).collect()
     }
 
-    /// Some members of a failure domain of which others are suspected, as it may be lost as a whole.
+    /// Returns random members of failure domains in which other members are suspected, because the
+    /// whole failure domain may be lost.
     fn suspect_domain_members(&mut self) -> Vec<MemberUpdate> {
         let mut suspects: IndexMap<u64, usize> = IndexMap::new();
-        for member in self.members.peers().filter(|one| one.state == MemberState::Suspect) {
+        for member in self.members.peers().filter(|member| member.state == MemberState::Suspect) {
             *suspects.entry(member.domain_hash).or_default() += 1;
         }
-        let is_doubted = |one: &&Member| {
-            let count = suspects.get(&one.domain_hash).copied().unwrap_or(0);
-            one.state == MemberState::Alive && count >= MIN_DOMAIN_SUSPECTS
+        let is_candidate = |member: &&Member| {
+            let count = suspects.get(&member.domain_hash).copied().unwrap_or(0);
+            member.state == MemberState::Alive && count >= MIN_DOMAIN_SUSPECTS
         };
-        let candidates: Vec<&Member> = self.members.peers().filter(is_doubted).collect();
+        let candidates: Vec<&Member> = self.members.peers().filter(is_candidate).collect();
         let chosen = candidates.sample(&mut self.rng, MAX_SUSPECT_DOMAIN_PROBES);
         chosen.map(|member| member.to_update()).collect()
     }
 
-    /// Suspects members that did not answer some probes in a row.
+    /// Suspects the members that did not answer `suspect_after_misses` probes in a row.
     fn suspect_unresponsive(&mut self, now_us: u64) {
-        let (answer_us, misses) = (self.policy.probe_timeout_us, self.policy.suspect_after_misses);
-        for node in self.probes.take_unresponsive(now_us, answer_us, misses) {
+        let (timeout_us, misses) = (self.policy.probe_timeout_us, self.policy.suspect_after_misses);
+        for node in self.probes.take_unresponsive(now_us, timeout_us, misses) {
             let change = self.members.suspect(now_us, &node);
             self.record_changes(now_us, change);
         }
     }
 
-    /// Some addresses to try that are no member's, other ones each time.
+    /// Returns a random choice of the seeds that are not a member's address.
     fn unknown_seeds(&mut self) -> Vec<EcoString> {
         let unknown: Vec<EcoString> = self
             .seeds
@@ -447,16 +462,16 @@
         }
     }
 
-    /// Notes which members changed, for peers that differ.
-    fn record_recent_updates(&mut self, now_us: u64, is_whole: bool) {
+    /// Records which members changed, for peers whose view differs.
+    fn record_recent_updates(&mut self, now_us: u64, is_full: bool) {
         for node in self.members.take_changed_nodes() {
-            self.recent_updates.record(now_us, node, is_whole);
+            self.recent_updates.record(now_us, node, is_full);
         }
     }
 
-    /// Adds what a peer whose digests differ may not know, in a random order.
-    fn fill_differing(&mut self, reply: &mut PeerDatagram, theirs: &Digests) {
-        let mut differing = self.members.members_differing_from(theirs);
+    /// Adds the members that differ from a peer's digests, in random order.
+    fn fill_differing(&mut self, reply: &mut PeerDatagram, digests: &Digests) {
+        let mut differing = self.members.members_differing_from(digests);
         differing.shuffle(&mut self.rng);
         reply.fill(differing.into_iter().map(|member| match member.state {
             MemberState::Dead => GossipUpdate::state_only(member),
@@ -466,7 +481,7 @@
         }));
     }
 
-    /// The digests of a part that a peer chose, or of one by chance.
+    /// Returns the digests of the part that a peer chose, or else of a random part.
     fn digests(&mut self, part: Option<(u32, u32)>) -> Digests {
         let all = self.node_count().div_ceil(MEMBERS_PER_DIGEST).next_power_of_two();
         let count = all.min(MAX_DIGESTS);
@@ -477,10 +492,10 @@
         self.members.digests(part, parts, count)
     }
 
-    /// Tells a few peers that members are suspected or leave, if any are and nobody was told.
+    /// Notifies a few peers of members that became suspected or leaving and were not reported yet.
     ///
-    /// Callers are sent to lost nodes until the directories know: probes alone would take seconds
-    /// to tell a large fleet.
+    /// Callers are sent to lost nodes until the directories are updated, and probes alone would take
+    /// seconds to inform a large fleet.
     fn send_urgent(&mut self, now_us: u64) -> Vec<OutgoingDatagram> {
         if !self.has_urgent_changes || now_us < self.last_urgent_us + URGENT_INTERVAL_US {
             return Vec::new();
@@ -490,7 +505,7 @@
         self.notify(now_us, since_us, URGENT_FANOUT)
     }
 
-    /// Tells some peers what changed since a time.
+    /// Notifies `count` random peers of the changes since a time.
     fn notify(&mut self, now_us: u64, since_us: u64, count: usize) -> Vec<OutgoingDatagram> {
         let peers = self.members.random_peers(&mut self.rng, count, "");
         let peers: Vec<EcoString> = peers.iter().map(|peer| peer.peer_address.clone()).collect();
@@ -511,14 +526,17 @@
         OutgoingDatagram { peer_address, datagram: self.datagram(now_us, DatagramKind::Probe) }
     }
 
-    /// A datagram with what every datagram says.
+    /// Creates a datagram with the fields that every datagram carries.
     fn datagram(&mut self, now_us: u64, kind: DatagramKind) -> PeerDatagram {
-        let me = self.members.local_member();
-        let from =
-            DatagramSender { node: me.node.clone(), incarnation: me.incarnation, state: me.state };
+        let local = self.members.local_member();
+        let sender = DatagramSender {
+            node: local.node.clone(),
+            incarnation: local.incarnation,
+            state: local.state,
+        };
         PeerDatagram {
             kind,
-            sender: from,
+            sender,
             members_hash: self.members.members_hash(),
             latest: self.latest.clone(),
             is_store_unavailable: self.is_store_unavailable,
@@ -531,9 +549,9 @@
     }
 }
 
-/// The next step of an exchange between nodes that differ.
-fn reply_kind(heard: DatagramKind) -> Option<DatagramKind> {
-    match heard {
+/// Returns the next step of an exchange between nodes whose views differ; `None` at its end.
+fn reply_kind(received: DatagramKind) -> Option<DatagramKind> {
+    match received {
         DatagramKind::Probe => Some(DatagramKind::Answer),
         DatagramKind::Answer => Some(DatagramKind::Compare),
         DatagramKind::Compare => Some(DatagramKind::Differences),
--- a/crates/sassafrasproxy-core/src/forward/registry/gossip/policy.rs
+++ b/crates/sassafrasproxy-core/src/forward/registry/gossip/policy.rs
@@ -1,39 +1,49 @@
-//! Times and counts of the heartbeats.
+//! The intervals, timeouts and counts of gossip.
 
-/// Times and counts of the heartbeats.
+/// The intervals, timeouts and counts of gossip.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct GossipPolicy {
     /// The time between two ticks, in microseconds.
     pub tick_interval_us: u64,
-    /// The same for a node that has just started and still differs from its peers.
+    /// The time between two ticks of a node that is alone, or has just started and still has a
+    /// different view from its peers, in microseconds.
     pub startup_tick_interval_us: u64,
-    /// How long a node counts as just started, in microseconds.
+    /// How long after its start a node counts as just started, in microseconds.
     pub startup_us: u64,
-    /// How many members are probed at each tick.
+    /// The number of members that are probed per tick.
     pub probes_per_tick: usize,
-    /// How many of its own failure domain a node probes that has just started and still differs.
+    /// The number of members of its own failure domain that a node probes per tick while it has just
+    /// started and still has a different view from its peers.
     pub startup_probes_per_tick: usize,
-    /// How long a probe may take, in microseconds: less than a tick, as timers fire unevenly.
+    /// How long the answer to a probe may take, in microseconds.
+    ///
+    /// Shorter than a tick, because timers fire unevenly.
     pub probe_timeout_us: u64,
-    /// How many probes of a member must fail in a row before it is suspected; datagrams get lost.
+    /// The number of probes in a row without an answer after which a member is suspected.
+    ///
+    /// More than one, because datagrams get lost.
     pub suspect_after_misses: u32,
-    /// How long a suspected member has to refute, in microseconds.
+    /// How long a suspected member has to refute the suspicion before it is dead, in microseconds.
     pub suspicion_timeout_us: u64,
-    /// How long a dead member is remembered, in microseconds.
+    /// How long a dead member is kept, in microseconds.
     pub dead_retention_us: u64,
-    /// How many nodes watch the store; all do in a smaller fleet.
+    /// The number of nodes that watch the store; in a smaller fleet, all nodes watch it.
     pub max_watchers: usize,
-    /// How many nodes keep a registration in the store, where new nodes look for others.
+    /// The number of nodes that keep a registration in the store, where new nodes find members.
     pub max_registered: usize,
-    /// How long a node that is not alone waits before it registers: its seeds may know the fleet.
+    /// How long a node that knows other nodes waits before it registers, in microseconds.
+    ///
+    /// Its seeds may already know a fleet with enough registrations.
     pub registration_delay_us: u64,
-    /// Below how much of a core, in thousandths, a node looks for a larger one to start from.
+    /// The CPU below which a node looks for a larger one to bootstrap from, in thousandths of a core.
     pub small_node_cpu_millis: u32,
-    /// How long such a node looks around before it reads the store itself, in microseconds.
+    /// How long such a node looks for a larger one in its failure domain before it reads the store
+    /// itself, in microseconds.
     ///
-    /// The failure domains that can be lost at once may hold all larger nodes.
+    /// The wait is bounded because the failure domains that can be lost at once may contain all
+    /// larger nodes.
     pub bootstrap_wait_us: u64,
-    /// How long a node that hears of nobody, or of no larger node, looks around, in microseconds.
+    /// How long a node that knows no other node, or no larger one, looks for one, in microseconds.
     pub isolated_wait_us: u64,
 }
 
--- a/crates/sassafrasproxy-core/src/forward/registry/gossip/roles.rs
+++ b/crates/sassafrasproxy-core/src/forward/registry/gossip/roles.rs
@@ -1,4 +1,5 @@
-//! What a node's place among the members means: whom it follows, whether it registers or decides.
+//! Derives a node's roles from the members: its sync source, whether it registers, and whether it
+//! coordinates.
 
 use ecow::EcoString;
 use sassafrasproxy_wire::MemberState;
@@ -9,32 +10,33 @@
 use crate::{Member, RolloutNodes, TrialReport, is_large_cpu};
 
 impl Gossip {
-    /// A peer that follows the store further than this node, if any was heard of.
+    /// Returns the peer address of a node that has synced further with the store than this node.
     ///
-    /// Never this node: peers may still tell of its life before a restart.
+    /// Never returns this node, even if peers still pass on a revision from before its restart.
     pub fn most_advanced_peer(&self) -> Option<EcoString> {
         let is_other = self.latest.peer_address != self.members.local_member().peer_address;
         let is_further = self.latest.revision > self.store_revision;
         (is_other && is_further).then(|| self.latest.peer_address.clone())
     }
 
-    /// Where to follow the store.
+    /// Returns the source from which this node syncs.
     ///
-    /// Once a peer could not tell what others know, one of those is asked: the next in order may
-    /// know no more, as when the store drops its history or many nodes are cut off.
+    /// After a recent failure of a peer, this is the most advanced peer if one is known. The next
+    /// peer in order may know no more than the failed one, for example when the store has compacted
+    /// its history or is unreachable for many nodes.
     pub fn sync_source(&self, now_us: u64) -> SyncSource {
-        let follow =
+        let source =
             self.source_selector.sync_source(now_us, &self.members, self.policy.max_watchers);
-        let is_peer = matches!(follow, SyncSource::Peer { .. });
+        let is_peer = matches!(source, SyncSource::Peer { .. });
         match self.most_advanced_peer() {
             Some(peer_address) if is_peer && self.source_selector.has_recent_failure(now_us) => {
                 SyncSource::Peer { peer_address }
             }
-            _ => follow,
+            _ => source,
         }
     }
 
-    /// Notes that a peer could not be followed, so that another is.
+    /// Records that a peer could not be followed, so that this node follows another one.
     pub fn record_sync_failure(&mut self, now_us: u64, peer_address: &str) {
         if self.latest.peer_address == peer_address {
             self.forget_most_advanced_peer();
@@ -43,13 +45,13 @@
         self.source_selector.record_failure(now_us, member.node.clone());
     }
 
-    /// Notes that the store turns away a peer that is followed.
+    /// Records that a followed peer reports the store as unavailable.
     pub fn record_peer_store_unavailable(&mut self, now_us: u64, peer_address: &str) {
         let Some(member) = self.members.by_peer_address(peer_address) else { return };
         self.source_selector.set_store_unavailable(now_us, &member.node, true);
     }
 
-    /// Whether this node keeps a registration in the store.
+    /// Whether this node should keep a registration in the store.
     pub fn should_register(&self, now_us: u64) -> bool {
         let age_us = now_us.saturating_sub(self.started_us);
         if self.node_count() == 1 {
@@ -60,7 +62,7 @@
             && self.source_selector.is_ranked_within(now_us, &self.members, count)
     }
 
-    /// Where a node that has just started learns what stands in the store.
+    /// Returns the source from which this node bootstraps after its start.
     pub fn bootstrap_source(&self, now_us: u64) -> BootstrapSource {
         let me = self.members.local_member();
         if me.cpu_millis >= self.policy.small_node_cpu_millis {
@@ -79,42 +81,43 @@
         }
     }
 
-    /// Lets another peer be heard of that knows more.
+    /// Resets the latest revision to this node's own, so that another advanced peer is recorded.
     fn forget_most_advanced_peer(&mut self) {
         let peer_address = self.members.local_member().peer_address.clone();
         self.latest = LatestRevision { revision: self.store_revision, peer_address };
     }
 
-    /// The datagram that brings what this node counted in a trial to the node that decides; `None`
-    /// if this node decides itself.
+    /// Returns the datagram that reports this node's counts from a trial to the coordinator; `None`
+    /// if this node is the coordinator itself.
     pub fn report_trial(&mut self, now_us: u64, report: TrialReport) -> Option<OutgoingDatagram> {
-        let deciders =
+        let coordinators =
             self.source_selector.coordinators(now_us, &self.members, self.is_store_unavailable);
-        let decider = deciders.first()?;
-        if decider.node == self.members.local_member().node {
+        let coordinator = coordinators.first()?;
+        if coordinator.node == self.members.local_member().node {
             return None;
         }
-        let peer_address = decider.peer_address.clone();
+        let peer_address = coordinator.peer_address.clone();
         let mut datagram = self.datagram(now_us, DatagramKind::Notice);
         datagram.trial_reports.push(report);
         Some(OutgoingDatagram { peer_address, datagram })
     }
 
-    /// The nodes, as the decider of roll-outs needs them.
+    /// Returns the information on nodes that the coordinator of rollouts needs.
     pub fn rollout_nodes(&self, now_us: u64) -> RolloutNodes {
-        let deciders =
+        let coordinators =
             self.source_selector.coordinators(now_us, &self.members, self.is_store_unavailable);
         let me = &self.members.local_member().node;
-        let rank = deciders.iter().position(|member| member.node == *me);
+        let rank = coordinators.iter().position(|member| member.node == *me);
         RolloutNodes { ingress_nodes: self.ingress_nodes(), rank }
     }
 
-    /// The names of the nodes that are alive and that callers are sent to.
+    /// Returns the names of the ingress nodes that are alive: the large ones, to which callers are
+    /// sent.
     fn ingress_nodes(&self) -> Vec<EcoString> {
-        let alive = self.members.present().filter(|one| one.state == MemberState::Alive);
+        let alive = self.members.present().filter(|member| member.state == MemberState::Alive);
         let alive: Vec<&Member> = alive.collect();
-        let largest = alive.iter().map(|one| one.cpu_millis).max().unwrap_or(0);
-        let large = alive.into_iter().filter(|one| is_large_cpu(one.cpu_millis, largest));
-        large.map(|one| one.node.clone()).collect()
+        let largest = alive.iter().map(|member| member.cpu_millis).max().unwrap_or(0);
+        let large = alive.into_iter().filter(|member| is_large_cpu(member.cpu_millis, largest));
+        large.map(|member| member.node.clone()).collect()
     }
 }
--- a/crates/sassafrasproxy-core/src/forward/registry/mod.rs
+++ b/crates/sassafrasproxy-core/src/forward/registry/mod.rs
@@ -1,8 +1,8 @@
-//! Who is there: configuration, replicas and nodes, as the store and the peers tell of them.
+//! Keeps track of the configuration, the replicas and the nodes, as learned from the store and peers.
 //!
-//! `StoreSync` reads the store, or `Gossip` names a peer to learn from; either brings facts.
-//! `Discovery` keeps what the facts say and what an outage of the store leaves open, and makes the
-//! catalogue that all other decisions read.
+//! `StoreSync` decides how to read the store, and `Gossip` names the peer to learn from instead;
+//! both lead to registry entries. `Discovery` applies the entries, holds replicas through an outage
+//! of the store, and builds the catalogue that all other decisions read.
 
 mod broadcast_queue;
 mod catalogue;
--- a/crates/sassafrasproxy-core/src/forward/registry/probe_tracker.rs
+++ b/crates/sassafrasproxy-core/src/forward/registry/probe_tracker.rs
@@ -1,4 +1,4 @@
-//! Probes of members that were not answered yet.
+//! Tracks the probes of members that are not answered yet.
 
 use ecow::EcoString;
 use indexmap::{IndexMap, IndexSet};
@@ -6,7 +6,7 @@
 
 use crate::MemberTable;
 
-/// The probes under way, by member.
+/// The pending probes, by member.
 #[derive(Debug, Default)]
 pub struct ProbeTracker {
     pending: IndexMap<EcoString, Probe>,
@@ -14,57 +14,61 @@
 
 #[derive(Debug, Clone, Copy, Default)]
 struct Probe {
-    /// When the last probe was sent; `None` once it counted as missed.
+    /// When the oldest unanswered probe was sent; `None` once it counted as missed.
     sent_us: Option<u64>,
+    /// The number of probes in a row that were not answered in time.
     missed: u32,
 }
 
 impl ProbeTracker {
-    /// Notes that a member is probed.
+    /// Records that a probe was sent to a member.
     pub fn record_sent(&mut self, now_us: u64, node: EcoString) {
         self.pending.entry(node).or_default().sent_us.get_or_insert(now_us);
     }
 
-    /// Notes that a member was heard.
+    /// Records that a datagram was received from a member, which ends its pending probe.
     pub fn record_heard(&mut self, node: &str) {
         self.pending.shift_remove(node);
     }
 
-    /// Probes members that missed their last probe once more, and returns where they are.
+    /// Records another probe of each member that missed its last one, and returns the members' peer
+    /// addresses.
     ///
-    /// The next probe of the same member comes a whole round later, and a lost failure domain
-    /// would be named to callers all the while.
+    /// The regular probe of the same member comes only after a whole round of all members. Until
+    /// then, callers would still be sent to the nodes of a lost failure domain.
     pub fn retry_missed(&mut self, now_us: u64, members: &MemberTable) -> IndexSet<EcoString> {
-        let mut targets = IndexSet::new();
+        let mut peer_addresses = IndexSet::new();
         for (node, probe) in &mut self.pending {
             let Some(member) = members.member(node) else { continue };
             let is_probed = matches!(member.state, MemberState::Alive | MemberState::Leaving);
             if probe.missed > 0 && probe.sent_us.is_none() && is_probed {
                 probe.sent_us = Some(now_us);
-                targets.insert(member.peer_address.clone());
+                peer_addresses.insert(member.peer_address.clone());
             }
         }
-        targets
+        peer_addresses
     }
 
-    /// Takes out the members that did not answer so many probes in a row in time.
+    /// Removes and returns the members that did not answer `suspect_after_misses` probes in a row.
+    ///
+    /// A probe counts as missed `timeout_us` after it was sent.
     pub fn take_unresponsive(
         &mut self,
         now_us: u64,
-        answer_us: u64,
-        misses: u32,
+        timeout_us: u64,
+        suspect_after_misses: u32,
     ) -> Vec<EcoString> {
-        let mut silent = Vec::new();
+        let mut unresponsive = Vec::new();
         for (node, probe) in &mut self.pending {
-            if probe.sent_us.is_some_and(|sent_us| now_us >= sent_us + answer_us) {
+            if probe.sent_us.is_some_and(|sent_us| now_us >= sent_us + timeout_us) {
                 probe.sent_us = None;
                 probe.missed += 1;
             }
-            if probe.missed >= misses {
-                silent.push(node.clone());
+            if probe.missed >= suspect_after_misses {
+                unresponsive.push(node.clone());
             }
         }
-        self.pending.retain(|_, probe| probe.missed < misses);
-        silent
+        self.pending.retain(|_, probe| probe.missed < suspect_after_misses);
+        unresponsive
     }
 }
--- a/crates/sassafrasproxy-core/src/forward/registry/recent_updates.rs
+++ b/crates/sassafrasproxy-core/src/forward/registry/recent_updates.rs
@@ -1,4 +1,4 @@
-//! Changes of members that peers may not have heard of yet.
+//! Keeps the recent changes of members that peers may not have received yet.
 
 use ecow::EcoString;
 use indexmap::IndexMap;
@@ -6,41 +6,41 @@
 use super::datagram::GossipUpdate;
 use crate::MemberTable;
 
-/// How long a change is recent, in microseconds; what spreads later is found by digests.
+/// How long a change counts as recent, in microseconds; digests find changes that spread later.
 const RETENTION_US: u64 = 2_000_000;
 
-/// The members that changed lately.
+/// The members that changed recently.
 #[derive(Debug, Default)]
 pub struct RecentUpdates {
-    /// The newest last.
+    /// The last change of each member, the newest last.
     changes: IndexMap<EcoString, RecentUpdate>,
 }
 
 #[derive(Debug, Clone, Copy)]
 struct RecentUpdate {
     changed_us: u64,
-    /// Whether peers may not know the member at all.
+    /// Whether more than the member's state changed, so that peers need its full record.
     is_full: bool,
 }
 
 impl RecentUpdates {
-    /// Notes a change; `is_whole` if more than the member's state changed.
-    pub fn record(&mut self, now_us: u64, node: EcoString, is_whole: bool) {
-        let was_whole = self.changes.shift_remove(&node).is_some_and(|change| change.is_full);
-        let change = RecentUpdate { changed_us: now_us, is_full: is_whole || was_whole };
+    /// Records a change; `is_full` if more than the member's state changed.
+    pub fn record(&mut self, now_us: u64, node: EcoString, is_full: bool) {
+        let was_full = self.changes.shift_remove(&node).is_some_and(|change| change.is_full);
+        let change = RecentUpdate { changed_us: now_us, is_full: is_full || was_full };
         self.changes.insert(node, change);
     }
 
-    /// The newest of the recent changes, no older than a time.
+    /// Returns at most `max_count` of the recent changes since a time, the newest first.
     pub fn updates_since<'a>(
         &mut self,
         now_us: u64,
         since_us: u64,
-        most: usize,
+        max_count: usize,
         members: &'a MemberTable,
     ) -> impl Iterator<Item = GossipUpdate> + use<'_, 'a> {
         self.changes.retain(|_, change| now_us < change.changed_us + RETENTION_US);
-        let newest = self.changes.iter().rev().take(most);
+        let newest = self.changes.iter().rev().take(max_count);
         let wanted = newest.take_while(move |(_, change)| change.changed_us >= since_us);
         wanted.filter_map(|(node, change)| {
             let member = members.member(node)?;
--- a/crates/sassafrasproxy-core/src/forward/registry/source_selector.rs
+++ b/crates/sassafrasproxy-core/src/forward/registry/source_selector.rs
@@ -1,4 +1,4 @@
-//! Which nodes watch the store, and from whom the others learn.
+//! Selects the nodes that watch the store, and the peers that the other nodes follow.
 
 use ecow::EcoString;
 use indexmap::IndexMap;
@@ -6,68 +6,69 @@
 
 use crate::{Member, MemberTable};
 
-/// How long a peer that could not be followed is passed over, in microseconds.
+/// How long a peer that could not be followed is ranked last, in microseconds.
 const FAILED_PEER_BACKOFF_US: u64 = 8_000_000;
 
-/// How long a node that the store turned away is passed over, in microseconds.
+/// How long a node that reports the store as unavailable is ranked last, in microseconds.
 const STORE_UNAVAILABLE_BACKOFF_US: u64 = 30_000_000;
 
-/// How many peers are passed over at the most; then the one that failed first is tried again.
+/// The maximum number of deprioritized peers; above it, the one that failed first
+/// regains its rank.
 ///
-/// Bounds the nodes that take a watcher's place at the same time while the store itself fails.
+/// Bounds the number of nodes that replace watchers at the same time while the store itself fails.
 const MAX_DEPRIORITIZED: usize = 8;
 
-/// How many nodes learn from the same one.
+/// The maximum number of nodes of a failure domain that follow the same node of that domain.
 const MAX_FOLLOWERS: usize = 16;
 
-/// How many nodes may decide for all, so that the loss of some delays nothing for long.
+/// The number of nodes that may coordinate, so that the loss of some causes no long delay.
 const MAX_COORDINATORS: usize = 4;
 
-/// Where a node learns what stands in the store.
+/// The source from which a node learns the entries of the store.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum SyncSource {
-    /// From the store.
+    /// The store itself.
     Store,
-    /// From a peer that knows it.
+    /// A peer that follows the store.
     Peer {
         /// The peer's address.
         peer_address: EcoString,
     },
 }
 
-/// Where a node that has just started learns what stands in the store.
+/// The source from which a node that has just started learns the entries of the store.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum BootstrapSource {
-    /// From the store.
+    /// The store itself.
     Store,
-    /// From a larger node of its failure domain.
+    /// A larger node in the same failure domain.
     Peer {
         /// The peer's address.
         peer_address: EcoString,
     },
-    /// It is not known yet.
+    /// Not decided yet; the node still waits to hear of a larger one.
     Undecided,
 }
 
-/// The order in which nodes watch the store.
+/// Ranks the nodes for watching the store.
 ///
-/// All nodes that agree on the members agree on the order, so a fleet of any size has the same few
-/// watchers. A node takes a watcher's place only if it found others before it unfit.
+/// All nodes that agree on the members compute the same order, so a fleet of any size has the same
+/// few watchers. A node replaces a watcher only if it has deprioritized nodes that rank above it.
 #[derive(Debug, Default)]
 pub struct SourceSelector {
-    /// By name; at most `MAX_PASSED_OVER`.
+    /// The deprioritized nodes, by name; at most `MAX_DEPRIORITIZED`.
     deprioritized: IndexMap<EcoString, Deprioritization>,
 }
 
 #[derive(Debug, Clone, Copy)]
 struct Deprioritization {
     until_us: u64,
-    /// Whether it said itself that the store turns it away.
+    /// Whether the node itself reported the store as unavailable.
     is_store_unavailable: bool,
 }
 
 impl SourceSelector {
-    /// Notes that a peer could not be followed.
+    /// Records that a peer could not be followed, which ranks it last for a while.
     pub fn record_failure(&mut self, now_us: u64, node: EcoString) {
         self.deprioritize(
             now_us,
@@ -79,128 +80,138 @@
         );
     }
 
-    /// Notes whether the store turns a member away, by its own word.
-    pub fn set_store_unavailable(&mut self, now_us: u64, node: &EcoString, is_away: bool) {
-        if is_away {
+    /// Records whether a member reports the store as unavailable.
+    pub fn set_store_unavailable(&mut self, now_us: u64, node: &EcoString, is_unavailable: bool) {
+        if is_unavailable {
             let until_us = now_us + STORE_UNAVAILABLE_BACKOFF_US;
             self.deprioritize(
                 now_us,
                 node.clone(),
-                Deprioritization { until_us, is_store_unavailable: is_away },
+                Deprioritization { until_us, is_store_unavailable: is_unavailable },
             );
         } else if self.deprioritized.get(node).is_some_and(|known| known.is_store_unavailable) {
             self.deprioritized.shift_remove(node);
         }
     }
 
-    /// Whether a peer could not be followed lately.
+    /// Whether a peer could not be followed recently.
     pub fn has_recent_failure(&self, now_us: u64) -> bool {
         let mut known = self.deprioritized.values();
         known.any(|known| !known.is_store_unavailable && now_us < known.until_us)
     }
 
-    /// Where this node learns what stands in the store.
+    /// Returns the source from which this node learns the entries of the store.
     ///
-    /// The first node of a failure domain learns from the store or from a watcher; the others form
-    /// a tree below it, so that a change crosses to each failure domain once.
+    /// The first node of a failure domain follows the store or a watcher. The others form a tree
+    /// below it, so that a change is sent into each failure domain only once.
     pub fn sync_source(&self, now_us: u64, members: &MemberTable, watchers: usize) -> SyncSource {
-        let order = self.ranked_members(now_us, members);
+        let ranked = self.ranked_members(now_us, members);
         let me = members.local_member();
-        let is_watcher = order.iter().take(watchers).any(|member| member.node == me.node);
-        if is_watcher || order.is_empty() {
+        let is_watcher = ranked.iter().take(watchers).any(|member| member.node == me.node);
+        if is_watcher || ranked.is_empty() {
             return SyncSource::Store;
         }
-        let near: Vec<&Member> =
-            order.iter().copied().filter(|one| one.domain_hash == me.domain_hash).collect();
-        let place = near.iter().position(|member| member.node == me.node);
-        let source = match place {
-            Some(0) => order[(me.name_hash % watchers.min(order.len()) as u64) as usize],
-            Some(place) => near[(place - 1) / MAX_FOLLOWERS],
-            // This node is leaving: whoever is first serves it.
-            None => near.first().copied().unwrap_or(order[0]),
+        let same_domain: Vec<&Member> =
+            ranked.iter().copied().filter(|member| member.domain_hash == me.domain_hash).collect();
+        let position = same_domain.iter().position(|member| member.node == me.node);
+        let source = match position {
+            Some(0) => ranked[(me.name_hash % watchers.min(ranked.len()) as u64) as usize],
+            Some(position) => same_domain[(position - 1) / MAX_FOLLOWERS],
+            // This node is leaving and thus not ranked; it follows the first node.
+            None => same_domain.first().copied().unwrap_or(ranked[0]),
         };
         SyncSource::Peer { peer_address: source.peer_address.clone() }
     }
 
-    /// Whether this node is among the first of the order.
+    /// Whether this node is among the first `count` nodes of the order.
     pub fn is_ranked_within(&self, now_us: u64, members: &MemberTable, count: usize) -> bool {
         let me = &members.local_member().node;
         self.ranked_members(now_us, members).iter().take(count).any(|member| member.node == *me)
     }
 
-    /// The nodes that decide for all what must be decided once, first the one whose turn it is.
+    /// Returns the nodes that may coordinate decisions for the whole fleet, the current coordinator
+    /// first.
     ///
-    /// A node that the store turns away puts itself last, as others do: it could not write.
+    /// A node to which the store is unavailable ranks itself last, as its peers do, because it
+    /// cannot write to the store.
     pub fn coordinators<'a>(
         &self,
         now_us: u64,
         members: &'a MemberTable,
-        is_away: bool,
+        is_unavailable: bool,
     ) -> Vec<&'a Member> {
-        let mut order = self.ranked_members(now_us, members);
+        let mut ranked = self.ranked_members(now_us, members);
         let me = &members.local_member().node;
-        order.sort_by_key(|member| is_away && member.node == *me);
-        order.truncate(MAX_COORDINATORS);
-        order
+        ranked.sort_by_key(|member| is_unavailable && member.node == *me);
+        ranked.truncate(MAX_COORDINATORS);
+        ranked
     }
 
-    /// The nodes that are alive, failure domains by turns, those passed over last.
+    /// Returns the nodes that are alive, alternating between failure domains; deprioritized nodes
+    /// come last.
     ///
-    /// This node never passes itself over: while the store fails for all, the same few go on trying.
+    /// A node never deprioritizes itself, so while the store fails for all nodes, the same few
+    /// nodes continue to try.
     fn ranked_members<'a>(&self, now_us: u64, members: &'a MemberTable) -> Vec<&'a Member> {
         let alive = members.present().filter(|member| member.state == MemberState::Alive);
-        let is_unfit = |one: &Member| {
-            self.deprioritized.get(&one.node).is_some_and(|known| now_us < known.until_us)
+        let is_deprioritized = |member: &Member| {
+            self.deprioritized.get(&member.node).is_some_and(|known| now_us < known.until_us)
         };
-        let mut sorted: Vec<(bool, &Member)> = alive.map(|one| (is_unfit(one), one)).collect();
-        sorted.sort_by_cached_key(|(is_unfit, one)| (*is_unfit, one.name_hash, one.node.clone()));
-        let mut in_domain: IndexMap<u64, usize> = IndexMap::new();
+        let mut sorted: Vec<(bool, &Member)> =
+            alive.map(|member| (is_deprioritized(member), member)).collect();
+        sorted.sort_by_cached_key(|(is_deprioritized, member)| {
+            (*is_deprioritized, member.name_hash, member.node.clone())
+        });
+        let mut ranks_by_domain: IndexMap<u64, usize> = IndexMap::new();
         let mut ranked = Vec::new();
-        for (is_unfit, member) in sorted {
-            let rank = in_domain.entry(member.domain_hash).or_default();
-            ranked.push(((is_unfit, *rank), member));
+        for (is_deprioritized, member) in sorted {
+            let rank = ranks_by_domain.entry(member.domain_hash).or_default();
+            ranked.push(((is_deprioritized, *rank), member));
             *rank += 1;
         }
         ranked.sort_by_key(|(rank, _)| *rank);
         ranked.into_iter().map(|(_, member)| member).collect()
     }
 
-    fn deprioritize(&mut self, now_us: u64, node: EcoString, passed_over: Deprioritization) {
+    fn deprioritize(&mut self, now_us: u64, node: EcoString, deprioritization: Deprioritization) {
         self.deprioritized.retain(|_, known| now_us < known.until_us);
-        self.deprioritized.insert(node, passed_over);
+        self.deprioritized.insert(node, deprioritization);
         if self.deprioritized.len() > MAX_DEPRIORITIZED {
             self.deprioritized.shift_remove_index(0);
         }
     }
 }
 
-/// Where a node finds one that is larger than itself.
+/// The result of a search for a larger node.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum LargerNode {
-    /// In its own failure domain.
+    /// A larger node is in the same failure domain.
     SameDomain {
         /// The larger node's address.
         peer_address: EcoString,
     },
-    /// In other failure domains only.
+    /// Larger nodes are known in other failure domains only.
     OtherDomain,
-    /// None is known.
+    /// No larger node is known.
     NotFound,
 }
 
-/// The larger node that this one starts from, so that only the larger ones list the store.
+/// Returns the larger node that this node bootstraps from.
+///
+/// A larger node has at least twice the CPU. Small nodes bootstrap from it, so that only the large
+/// ones list the store.
 pub fn larger_node(members: &MemberTable) -> LargerNode {
     let me = members.local_member();
     let is_larger = |member: &&Member| {
         member.state == MemberState::Alive && member.cpu_millis >= 2 * me.cpu_millis
     };
     let larger: Vec<&Member> = members.present().filter(is_larger).collect();
-    let near: Vec<&Member> =
-        larger.iter().copied().filter(|one| one.domain_hash == me.domain_hash).collect();
-    if near.is_empty() {
+    let same_domain: Vec<&Member> =
+        larger.iter().copied().filter(|member| member.domain_hash == me.domain_hash).collect();
+    if same_domain.is_empty() {
         return if larger.is_empty() { LargerNode::NotFound } else { LargerNode::OtherDomain };
     }
-    // The small nodes of a failure domain share its large ones out.
-    let choice = near[(me.name_hash % near.len() as u64) as usize];
+    // The name's hash spreads the small nodes of a failure domain over its large ones.
+    let choice = same_domain[(me.name_hash % same_domain.len() as u64) as usize];
     LargerNode::SameDomain { peer_address: choice.peer_address.clone() }
 }
