--- a/crates/sassafrasproxy-core/src/forward/registry/discovery/mod.rs
+++ b/crates/sassafrasproxy-core/src/forward/registry/discovery/mod.rs
@@ -223,7 +223,7 @@
         replicas.collect()
     }
 
-    /// Extends the holds when the store recovers, so that held replicas have time to register again.
+    /// Extends the holds when the store recovers, so that held replicas can register again in time.
     fn extend_holds(&mut self, now_us: u64) {
         if !std::mem::take(&mut self.is_store_unavailable) {
             return;
--- a/crates/sassafrasproxy-core/src/forward/registry/gossip/mod.rs
+++ b/crates/sassafrasproxy-core/src/forward/registry/gossip/mod.rs
@@ -272,7 +272,8 @@
         if !self.views_differ {
             return Some(OutgoingDatagram { peer_address: peer_address.into(), datagram: reply });
         }
-        // A sender that this node holds to be suspected or dead learns so at once and can refute it.
+        // A sender whose state is outdated at this node, such as suspected or dead, learns of it at
+        // once and can refute it.
         let known = self.members.member(&sender.node);
         let outdated =
             known.filter(|known| known.state != sender.state).map(GossipUpdate::state_only);
@@ -494,8 +495,8 @@
 
     /// Notifies a few peers of members that became suspected or leaving and were not reported yet.
     ///
-    /// Callers are sent to lost nodes until the directories are updated, and probes alone would take
-    /// seconds to inform a large fleet.
+    /// Callers are sent to lost nodes until the directories are updated, and probes alone would
+    /// take seconds to inform a large fleet.
     fn send_urgent(&mut self, now_us: u64) -> Vec<OutgoingDatagram> {
         if !self.has_urgent_changes || now_us < self.last_urgent_us + URGENT_INTERVAL_US {
             return Vec::new();
--- a/crates/sassafrasproxy-core/src/forward/registry/gossip/policy.rs
+++ b/crates/sassafrasproxy-core/src/forward/registry/gossip/policy.rs
@@ -12,8 +12,8 @@
     pub startup_us: u64,
     /// The number of members that are probed per tick.
     pub probes_per_tick: usize,
-    /// The number of members of its own failure domain that a node probes per tick while it has just
-    /// started and still has a different view from its peers.
+    /// The number of members of its own failure domain that a node probes per tick while it has
+    /// just started and still has a different view from its peers.
     pub startup_probes_per_tick: usize,
     /// How long the answer to a probe may take, in microseconds.
     ///
@@ -35,7 +35,8 @@
     ///
     /// Its seeds may already know a fleet with enough registrations.
     pub registration_delay_us: u64,
-    /// The CPU below which a node looks for a larger one to bootstrap from, in thousandths of a core.
+    /// The CPU below which a node looks for a larger one to bootstrap from, in thousandths of a
+    /// core.
     pub small_node_cpu_millis: u32,
     /// How long such a node looks for a larger one in its failure domain before it reads the store
     /// itself, in microseconds.
--- a/crates/sassafrasproxy-core/src/forward/registry/mod.rs
+++ b/crates/sassafrasproxy-core/src/forward/registry/mod.rs
@@ -1,4 +1,4 @@
-//! Keeps track of the configuration, the replicas and the nodes, as learned from the store and peers.
+//! Keeps track of the configuration, replicas and nodes, as learned from the store and from peers.
 //!
 //! `StoreSync` decides how to read the store, and `Gossip` names the peer to learn from instead;
 //! both lead to registry entries. `Discovery` applies the entries, holds replicas through an outage
--- a/crates/sassafrasproxy-core/src/forward/registry/rollouts.rs
+++ b/crates/sassafrasproxy-core/src/forward/registry/rollouts.rs
@@ -1,4 +1,4 @@
-//! What a node knows of roll-outs, from the store or from peers.
+//! Keeps the rollout orders and records that a node has learned from the store or from peers.
 
 use ecow::EcoString;
 use indexmap::{IndexMap, IndexSet};
@@ -8,77 +8,79 @@
     RolloutState, ServiceVersions, TrialGrant, US_PER_MS, VersionReplicas, service_versions,
 };
 
-/// Where a node takes part in roll-outs.
+/// A node that takes part in rollouts.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct RolloutParticipant {
-    /// The node's name.
+    /// The name of the node.
     pub node: EcoString,
 }
 
-/// The orders and records that a node knows.
+/// The rollout orders and records that a node knows.
 ///
-/// Without a scope there are no roll-outs, and all versions of a service are alike.
+/// Without a participant, there are no rollouts and all versions of a service are treated alike.
 #[derive(Debug, Default)]
 pub struct RolloutEntries {
     participant: Option<RolloutParticipant>,
     orders: IndexMap<EcoString, Versioned<RolloutOrder>>,
     records: IndexMap<EcoString, Versioned<RolloutRecord>>,
-    /// Orders that were stopped before their record says so.
+    /// The store's revisions of orders that were stopped, possibly before their record shows it.
     stopped_orders: IndexSet<u64>,
-    /// How far this process followed the store when it first knew all of it.
+    /// The store's revision that this process had synced to when it first knew all entries.
     initial_revision: Option<u64>,
 }
 
 #[derive(Debug, Clone, PartialEq)]
 struct Versioned<T> {
     value: T,
+    /// The store's revision of the entry.
     revision: u64,
+    /// Whether the current or last list of the store contains the entry.
     is_listed: bool,
 }
 
 impl RolloutEntries {
-    /// Knows nothing yet.
+    /// Creates an empty state.
     pub fn new(participant: Option<RolloutParticipant>) -> Self {
         Self { participant, ..Self::default() }
     }
 
-    /// Notes how far this node knows the store now; only the first time counts.
+    /// Records the revision up to which this node has synced; only the first call has an effect.
     pub fn record_initial_revision(&mut self, revision: u64) {
         self.initial_revision.get_or_insert(revision);
     }
 
-    /// Takes an order in; returns whether it is news.
+    /// Applies an order; returns whether it is newer than the known one.
     pub fn apply_order(&mut self, order: RolloutOrder, revision: u64) -> bool {
         upsert_if_newer(&mut self.orders, order.service.clone(), order, revision)
     }
 
-    /// Takes a record in; returns whether it is news.
+    /// Applies a record; returns whether it is newer than the known one.
     pub fn apply_record(&mut self, record: RolloutRecord, revision: u64) -> bool {
         upsert_if_newer(&mut self.records, record.service.clone(), record, revision)
     }
 
-    /// Forgets an order that was taken back by a revision; returns whether it was known.
+    /// Removes an order that was withdrawn at a revision; returns whether one was removed.
     pub fn remove_order(&mut self, service: &EcoString, revision: u64) -> bool {
         remove_if_older(&mut self.orders, service, revision)
     }
 
-    /// Forgets a record; returns whether it was known.
+    /// Removes a record that was removed at a revision; returns whether one was removed.
     pub fn remove_record(&mut self, service: &EcoString, revision: u64) -> bool {
         remove_if_older(&mut self.records, service, revision)
     }
 
-    /// Notes that an order was stopped; returns whether that is news.
+    /// Records that an order was stopped; returns whether that was unknown.
     pub fn mark_stopped(&mut self, order_revision: u64) -> bool {
         self.stopped_orders.insert(order_revision)
     }
 
-    /// Begins a list of the store.
+    /// Starts a list of the store: marks all entries as not listed.
     pub fn start_list(&mut self) {
         self.orders.values_mut().for_each(|known| known.is_listed = false);
         self.records.values_mut().for_each(|known| known.is_listed = false);
     }
 
-    /// What the list did not name.
+    /// Returns the keys of the entries that the list did not contain.
     pub fn unlisted(&self) -> Vec<RegistryKey> {
         let orders = self.orders.iter().filter(|(_, known)| !known.is_listed);
         let records = self.records.iter().filter(|(_, known)| !known.is_listed);
@@ -87,12 +89,12 @@
         orders.chain(records).collect()
     }
 
-    /// All subjects that are known, each with its revision.
+    /// Returns the keys of all known entries, each with the entry's revision.
     pub fn keys(&self) -> impl Iterator<Item = (RegistryKey, u64)> {
-        self.entries().map(|(fact, revision)| (fact.key(), revision))
+        self.entries().map(|(entry, revision)| (entry.key(), revision))
     }
 
-    /// All facts, each with its revision.
+    /// Returns all known entries, each with its revision.
     pub fn entries(&self) -> impl Iterator<Item = (RegistryEntry, u64)> {
         let orders = self.orders.values();
         let orders =
@@ -103,39 +105,42 @@
         orders.chain(records)
     }
 
-    /// The order for a service.
+    /// Returns the order for a service.
     pub fn order(&self, service: &str) -> Option<&RolloutOrder> {
         self.orders.get(service).map(|known| &known.value)
     }
 
-    /// The record of a service.
+    /// Returns the record of a service.
     pub fn record(&self, service: &str) -> Option<&RolloutRecord> {
         self.records.get(service).map(|known| &known.value)
     }
 
-    /// Leaves open what each service's versions allow, and returns what this node may send to those
-    /// on trial.
+    /// Restricts the eligible replicas to the versions in use and on trial, and returns the traffic
+    /// that this node may send to versions on trial, by service.
     pub fn restrict_replicas(
         &self,
         replicas: &mut IndexMap<EcoString, CatalogueReplica>,
     ) -> IndexMap<EcoString, TrialGrant> {
-        let Some(scope) = &self.participant else { return IndexMap::new() };
+        let Some(participant) = &self.participant else { return IndexMap::new() };
         let versions = self.versions(replicas);
         for replica in replicas.values_mut() {
             let Some(versions) = versions.get(&replica.entry.service) else { continue };
-            let is_version = |one: &Option<EcoString>| one.as_ref() == Some(&replica.entry.version);
+            let is_version =
+                |version: &Option<EcoString>| version.as_ref() == Some(&replica.entry.version);
             replica.is_on_trial = !is_version(&versions.in_use) && is_version(&versions.on_trial);
             replica.is_eligible &= replica.is_on_trial || is_version(&versions.in_use);
         }
         let grants = self.records.iter();
         grants
             .filter_map(|(service, known)| {
-                Some((service.clone(), self.grant(scope, &known.value)?))
+                Some((service.clone(), self.grant(participant, &known.value)?))
             })
             .collect()
     }
 
-    /// All roll-outs, for the decider; `replicas` are those of the catalogue before any restriction.
+    /// Returns the states of all rollouts, for the coordinator.
+    ///
+    /// `replicas` are those of the catalogue before `restrict_replicas`.
     pub fn rollout_states(
         &self,
         replicas: &IndexMap<EcoString, CatalogueReplica>,
@@ -147,11 +152,12 @@
         let services: IndexSet<&EcoString> =
             self.orders.keys().chain(self.records.keys()).collect();
         let states = services.into_iter().map(|service| {
-            let of_service = replicas.values().filter(|one| one.entry.service == *service);
-            let listed = of_service.clone().map(|one| (&one.entry.version, one.entry.born_ms));
-            let mut open: IndexMap<EcoString, VersionReplicas> = IndexMap::new();
+            let of_service = replicas.values().filter(|replica| replica.entry.service == *service);
+            let listed =
+                of_service.clone().map(|replica| (&replica.entry.version, replica.entry.born_ms));
+            let mut eligible: IndexMap<EcoString, VersionReplicas> = IndexMap::new();
             for replica in of_service.filter(|replica| replica.is_eligible) {
-                let of_version = open.entry(replica.entry.version.clone()).or_default();
+                let of_version = eligible.entry(replica.entry.version.clone()).or_default();
                 of_version.count += 1;
                 of_version.slots += replica.entry.slots;
             }
@@ -162,7 +168,7 @@
                 order: self.orders.get(service).map(|known| (known.value.clone(), known.revision)),
                 record: record.map(|known| (known.value.clone(), known.revision)),
                 in_use: versions.in_use,
-                versions: open,
+                versions: eligible,
                 is_known: listed.count() > 0 || is_configured(service),
                 is_stopped: record.is_some_and(|known| self.is_stopped(&known.value)),
             }
@@ -170,22 +176,23 @@
         states.collect()
     }
 
-    /// The versions of the services that have a record or several versions.
+    /// Returns the versions in use and on trial of the services that have a record or more than one
+    /// version.
     fn versions(
         &self,
         replicas: &IndexMap<EcoString, CatalogueReplica>,
     ) -> IndexMap<EcoString, ServiceVersions> {
-        let mut first: IndexMap<&EcoString, &EcoString> = IndexMap::new();
-        let mut concerned: IndexSet<&EcoString> = self.records.keys().collect();
+        let mut first_versions: IndexMap<&EcoString, &EcoString> = IndexMap::new();
+        let mut services: IndexSet<&EcoString> = self.records.keys().collect();
         for replica in replicas.values() {
             let (service, version) = (&replica.entry.service, &replica.entry.version);
-            if *first.entry(service).or_insert(version) != version {
-                concerned.insert(service);
+            if *first_versions.entry(service).or_insert(version) != version {
+                services.insert(service);
             }
         }
-        let versions = concerned.into_iter().map(|service| {
-            let of_service = replicas.values().filter(|one| one.entry.service == *service);
-            let listed = of_service.map(|one| (&one.entry.version, one.entry.born_ms));
+        let versions = services.into_iter().map(|service| {
+            let of_service = replicas.values().filter(|replica| replica.entry.service == *service);
+            let listed = of_service.map(|replica| (&replica.entry.version, replica.entry.born_ms));
             (service.clone(), self.versions_of(service, listed))
         });
         versions.collect()
@@ -204,15 +211,24 @@
         self.stopped_orders.contains(&record.order_revision)
     }
 
-    /// What this node may send to the version on trial; `None` if it has no part in the trial.
-    fn grant(&self, scope: &RolloutParticipant, record: &RolloutRecord) -> Option<TrialGrant> {
+    /// Returns the traffic that this node may send to the version on trial.
+    ///
+    /// Returns `None` if the node is not a canary of the rollout, or if the rollout is stopped or
+    /// neither in its trial nor promoted.
+    fn grant(
+        &self,
+        participant: &RolloutParticipant,
+        record: &RolloutRecord,
+    ) -> Option<TrialGrant> {
         let is_running = matches!(record.phase, RolloutPhase::Trial | RolloutPhase::Promoted);
-        if !is_running || self.is_stopped(record) || !record.canaries.contains(&scope.node) {
+        if !is_running || self.is_stopped(record) || !record.canaries.contains(&participant.node) {
             return None;
         }
-        // A life of this node before may have used the permits of an order that is older than this
-        // one; the process still reports, so that nobody waits for it.
-        let is_entitled = self.initial_revision.is_some_and(|first| first < record.order_revision);
+        // If the order is older than this process, the node may already have used its permits
+        // before a restart. It then gets none, but still reports so that the coordinator does not
+        // wait for it.
+        let is_entitled =
+            self.initial_revision.is_some_and(|initial| initial < record.order_revision);
         Some(TrialGrant {
             version: record.target_version.clone(),
             order_revision: record.order_revision,
@@ -223,27 +239,29 @@
     }
 }
 
+/// Inserts an entry unless one of the same or a newer revision is known, which counts as listed.
 fn upsert_if_newer<T: PartialEq>(
-    facts: &mut IndexMap<EcoString, Versioned<T>>,
+    entries: &mut IndexMap<EcoString, Versioned<T>>,
     service: EcoString,
-    fact: T,
+    value: T,
     revision: u64,
 ) -> bool {
-    if let Some(known) = facts.get_mut(&service)
+    if let Some(known) = entries.get_mut(&service)
         && revision <= known.revision
     {
         known.is_listed = true;
         return false;
     }
-    facts.insert(service, Versioned { value: fact, revision, is_listed: true });
+    entries.insert(service, Versioned { value, revision, is_listed: true });
     true
 }
 
+/// Removes an entry unless it is newer than `revision`; returns whether one was removed.
 fn remove_if_older<T>(
-    facts: &mut IndexMap<EcoString, Versioned<T>>,
+    entries: &mut IndexMap<EcoString, Versioned<T>>,
     service: &EcoString,
     revision: u64,
 ) -> bool {
-    let is_older = facts.get(service).is_some_and(|known| known.revision <= revision);
-    is_older && facts.shift_remove(service).is_some()
+    let is_older = entries.get(service).is_some_and(|known| known.revision <= revision);
+    is_older && entries.shift_remove(service).is_some()
 }
--- a/crates/sassafrasproxy-core/src/forward/registry/store_sync.rs
+++ b/crates/sassafrasproxy-core/src/forward/registry/store_sync.rs
@@ -1,26 +1,32 @@
-//! Following the store: list, watch, and list again.
+//! Decides how a node follows the store: by a list, then by watches, and by a new list if needed.
 
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 
-/// Times of the loop that follows the store.
+/// The timeouts and delays of the loop that follows the store.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct StoreSyncPolicy {
     /// How long a watch waits for a change, in milliseconds.
     ///
-    /// Bounds how long a store that took the call and never answers it stays unnoticed: its
-    /// connection still answers keep-alive probes, and if all watches hang no peer knows more.
+    /// Bounds the time to detect a store that accepts the call but never answers it. The store's
+    /// connection still answers keep-alive probes, and if all watches hang, no peer knows more.
     pub watch_timeout_ms: u64,
-    /// How long after a change the next watch starts, so that changes share a call.
+    /// How long after a change the next watch starts, in microseconds.
     ///
-    /// Of the three seconds within which a change must be in force. Shorter than two comparisons
-    /// with peers are apart, so that a node which pauses does not look cut off.
+    /// The delay lets changes share a call.
+    ///
+    /// The delay counts towards the three seconds within which a change must be active. It is
+    /// shorter than the interval between two comparisons with peers, so that a node that pauses
+    /// does not look disconnected.
     pub coalesce_delay_us: u64,
-    /// The pause after a first failure; doubles with each further one.
+    /// The longest pause after a first failure, in microseconds.
+    ///
+    /// Doubles with each further failure in a row, up to `max_backoff_us`.
     pub min_backoff_us: u64,
-    /// The longest pause after failures.
+    /// The maximum pause after a failure, in microseconds.
     ///
-    /// With all nodes of a fleet this stays far below the store's rate of reads.
+    /// Even if all nodes of a fleet retry at this interval, they stay far below the store's rate
+    /// limit for reads.
     pub max_backoff_us: u64,
 }
 
@@ -35,52 +41,52 @@
     }
 }
 
-/// What to do next.
+/// The next step of the loop that follows the store.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum StoreStep {
-    /// Read a page of the whole list; the first if no key is given.
+    /// Reads a page of the whole list; the first page if no key is given.
     List {
-        /// The last key of the page before.
+        /// The last key of the previous page.
         after_key: Option<ecow::EcoString>,
     },
-    /// Wait for changes after a revision.
+    /// Waits for changes after a revision.
     Watch {
         /// The revision.
         after_revision: u64,
         /// How long to wait, in milliseconds.
         wait_ms: u64,
     },
-    /// Do nothing until a time.
+    /// Does nothing until a time.
     Pause {
-        /// The time.
+        /// The time, in microseconds.
         until_us: u64,
     },
 }
 
-/// How a call went.
+/// The outcome of a call to the store.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum StoreCallOutcome {
-    /// A page of the list came.
+    /// A page of the list was received.
     Page {
         /// The store's revision.
         revision: u64,
-        /// The page's last key, if another page follows.
+        /// The last key of the page; `None` if no other page follows.
         next_after_key: Option<ecow::EcoString>,
     },
-    /// A watch came back.
+    /// A watch ended, by a change or by its timeout.
     WatchCompleted {
-        /// The revision to go on from.
+        /// The revision to continue from.
         revision: u64,
-        /// Whether it brought changes.
+        /// Whether the watch returned changes.
         has_changes: bool,
     },
-    /// The history is gone.
+    /// The store has compacted the history that the watch needs.
     HistoryCompacted,
     /// The call failed.
     Failed,
 }
 
-/// The state of the loop.
+/// The state of the loop that follows the store.
 #[derive(Debug)]
 pub struct StoreSync {
     policy: StoreSyncPolicy,
@@ -92,18 +98,17 @@
 
 #[derive(Debug, Clone, PartialEq, Eq)]
 enum Phase {
-    /// The first page's revision is kept: what changes while later pages are read comes by watch.
-    Listing {
-        after_key: Option<ecow::EcoString>,
-        first_revision: Option<u64>,
-    },
-    Watching {
-        after_revision: u64,
-    },
+    /// Reads the list.
+    ///
+    /// Keeps the first page's revision, because the watch must return the changes made while later
+    /// pages are read.
+    Listing { after_key: Option<ecow::EcoString>, first_revision: Option<u64> },
+    /// Watches for changes after a revision.
+    Watching { after_revision: u64 },
 }
 
 impl StoreSync {
-    /// A loop that has read nothing yet.
+    /// Creates a loop that starts with a list; `seed` seeds the jitter of the backoff.
     pub fn new(policy: StoreSyncPolicy, seed: u64) -> Self {
         Self {
             policy,
@@ -114,7 +119,7 @@
         }
     }
 
-    /// What to do now.
+    /// Returns the next step.
     pub fn next_step(&self, now_us: u64) -> StoreStep {
         if now_us < self.pause_until_us {
             return StoreStep::Pause { until_us: self.pause_until_us };
@@ -128,12 +133,12 @@
         }
     }
 
-    /// Takes the end of a call in; returns whether a whole list has just been read.
+    /// Records the outcome of a call; returns whether it completed a list.
     pub fn record_outcome(&mut self, now_us: u64, outcome: StoreCallOutcome) -> bool {
         match outcome {
-            StoreCallOutcome::Page { revision, next_after_key: next_after } => {
+            StoreCallOutcome::Page { revision, next_after_key } => {
                 self.consecutive_failures = 0;
-                return self.record_page(revision, next_after);
+                return self.record_page(revision, next_after_key);
             }
             StoreCallOutcome::WatchCompleted { revision, has_changes } => {
                 self.consecutive_failures = 0;
@@ -144,7 +149,7 @@
             }
             StoreCallOutcome::HistoryCompacted => self.restart_list(),
             StoreCallOutcome::Failed => {
-                // A list that broke off starts anew: its first page is no longer the newest.
+                // An interrupted list restarts from its first page, which may be outdated by now.
                 if matches!(self.phase, Phase::Listing { .. }) {
                     self.restart_list();
                 }
@@ -155,10 +160,10 @@
         false
     }
 
-    /// Up to which revision everything is known; 0 before the first list has ended.
+    /// Returns the revision up to which all entries are known; 0 before the first list has ended.
     ///
-    /// After a list of several pages this is the first page's: what changed while later pages
-    /// were read comes by the watch only.
+    /// After a list of several pages, this is the revision of the first page, because changes made
+    /// while later pages were read arrive only with the watch.
     pub fn synced_revision(&self) -> u64 {
         match self.phase {
             Phase::Listing { .. } => 0,
@@ -166,28 +171,29 @@
         }
     }
 
-    /// Goes on from a revision up to which everything was learned elsewhere, in place of a list.
+    /// Continues with a watch after a revision up to which all entries were learned from a peer,
+    /// without a list.
     pub fn resume_from(&mut self, revision: u64) {
         self.phase = Phase::Watching { after_revision: revision };
     }
 
-    /// Notes that everything up to a revision was learned elsewhere; 0 if nothing was.
+    /// Records that all entries up to a revision were learned from a peer; 0 if none were.
     pub fn advance_to(&mut self, revision: u64) {
         if revision > self.synced_revision() {
             self.resume_from(revision);
         }
     }
 
-    fn record_page(&mut self, revision: u64, next_after: Option<ecow::EcoString>) -> bool {
+    fn record_page(&mut self, revision: u64, next_after_key: Option<ecow::EcoString>) -> bool {
         let known = match &self.phase {
             Phase::Listing { first_revision, .. } => *first_revision,
             Phase::Watching { .. } => None,
         };
-        let first = known.unwrap_or(revision);
-        let is_last = next_after.is_none();
-        self.phase = match next_after {
-            None => Phase::Watching { after_revision: first },
-            after_key => Phase::Listing { after_key, first_revision: Some(first) },
+        let first_revision = known.unwrap_or(revision);
+        let is_last = next_after_key.is_none();
+        self.phase = match next_after_key {
+            None => Phase::Watching { after_revision: first_revision },
+            after_key => Phase::Listing { after_key, first_revision: Some(first_revision) },
         };
         is_last
     }
@@ -196,7 +202,9 @@
         self.phase = Phase::Listing { after_key: None, first_revision: None };
     }
 
-    /// The pause after a failure, with jitter so that nodes do not come back all at once.
+    /// Returns the pause after a failure, in microseconds.
+    ///
+    /// Jitter prevents all nodes from retrying at once.
     fn backoff_us(&mut self) -> u64 {
         let doubled = self.policy.min_backoff_us << self.consecutive_failures.min(8);
         let pause_us = doubled.min(self.policy.max_backoff_us);
--- a/crates/sassafrasproxy-core/tests/discovery.rs
+++ b/crates/sassafrasproxy-core/tests/discovery.rs
@@ -1,4 +1,4 @@
-//! What a node believes of configuration, replicas and failure domains.
+//! Tests a node's view of the configuration, replicas and failure domains.
 
 #![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 
@@ -35,7 +35,7 @@
     DiscoveryEvent::EntryRemoved { key: RegistryKey::Replica(id.into()), revision }
 }
 
-/// A discovery that has listed two replicas and configuration 5.
+/// Returns a discovery that has listed two replicas and configuration 5.
 fn listed_discovery() -> Discovery {
     let mut discovery = Discovery::default();
     let events = [
@@ -54,8 +54,8 @@
     replicas.filter(|(_, replica)| replica.is_eligible).map(|(id, _)| id.as_str()).collect()
 }
 
-/// A stale read, a late peer or a replayed watch brings an older configuration: routes that were
-/// dropped would be served again.
+/// Guards against serving routes that were removed, when a stale read, a lagging peer or a replayed
+/// watch returns an older configuration.
 #[test]
 fn older_configuration_is_ignored() {
     let mut discovery = listed_discovery();
@@ -71,7 +71,7 @@
     assert_eq!(discovery.configuration_version(), 11);
 }
 
-/// A replica that drains, and one whose entry is taken away without that, get no new work.
+/// A draining replica, and one whose entry is removed without draining, get no new work.
 #[test]
 fn draining_or_removed_replica_gets_no_work() {
     let mut discovery = listed_discovery();
@@ -83,8 +83,9 @@
     assert!(!catalogue.replicas.contains_key("b"));
 }
 
-/// A replica says that it leaves. What it wrote a second before reaches the store only then: it
-/// seems ready again and would get work until it is gone. A new life of it may be ready.
+/// Guards against a draining replica that gets work again. An entry that the replica wrote a second
+/// before it started to drain reaches the store late and makes it look ready. An entry after a
+/// restart of the replica counts.
 #[test]
 fn late_entry_is_ignored() {
     let mut discovery = listed_discovery();
@@ -99,7 +100,8 @@
     assert_eq!(eligible_ids(&discovery.take_catalogue().unwrap()), ["b", "a"]);
 }
 
-/// An old removal comes after a newer entry, as when pages and watch overlap.
+/// Guards against an old removal that deletes a newer entry, when pages of a list and a watch
+/// overlap.
 #[test]
 fn old_removal_is_ignored() {
     let mut discovery = listed_discovery();
@@ -108,7 +110,8 @@
     assert_eq!(eligible_ids(&discovery.take_catalogue().unwrap()), ["a", "b"]);
 }
 
-/// A list after a gap in the history does not name a replica: it is gone.
+/// Guards against a replica that is kept although it left. After a gap in the history, a new list
+/// does not contain the replica.
 #[test]
 fn unlisted_replica_is_removed() {
     let mut discovery = listed_discovery();
@@ -123,9 +126,10 @@
     assert_eq!(eligible_ids(&discovery.take_catalogue().unwrap()), ["b"]);
 }
 
-/// The store is away for long and the replicas cannot renew their entries. When it returns, it
-/// reports all of them as gone. Callers would be refused for the two seconds until the replicas
-/// have registered again, though all are sound; one that does not register in time is gone.
+/// Guards against rejecting callers for two seconds after an outage of the store. During a long
+/// outage, live replicas cannot renew their entries, and the store reports all of them as removed
+/// when it recovers. They must be held until they register again; one that does not register in
+/// time is removed.
 #[test]
 fn expired_entries_are_held() {
     let mut discovery = listed_discovery();
@@ -134,7 +138,7 @@
     discovery.step(20_000_000, DiscoveryEvent::StoreRecovered);
     discovery.step(20_100_000, replica_removed("a", 8));
     discovery.step(20_100_000, replica_removed("b", 9));
-    assert!(discovery.take_catalogue().is_none(), "nothing was dropped");
+    assert!(discovery.take_catalogue().is_none(), "no replica was removed");
     discovery.step(21_500_000, replica_seen(replica_entry("a"), 12));
     discovery.step(22_100_000, DiscoveryEvent::Tick);
     assert_eq!(eligible_ids(&discovery.take_catalogue().unwrap()), ["a", "b"]);
@@ -142,7 +146,8 @@
     assert_eq!(eligible_ids(&discovery.take_catalogue().unwrap()), ["a"]);
 }
 
-/// With the store in reach, an entry that goes is a replica that leaves: it is dropped at once.
+/// Guards against holding a replica that left. While the store is available, a removed entry means
+/// that its replica left, so it is removed at once.
 #[test]
 fn removed_entry_is_not_held() {
     let mut discovery = listed_discovery();
@@ -153,32 +158,33 @@
 #[test]
 fn domain_out_gets_no_work() {
     let mut discovery = listed_discovery();
-    let fact = RegistryEntry::DomainOut("west".into());
-    discovery.step(1, DiscoveryEvent::EntrySeen { entry: fact, revision: 8 });
+    let entry = RegistryEntry::DomainOut("west".into());
+    discovery.step(1, DiscoveryEvent::EntrySeen { entry, revision: 8 });
     assert_eq!(eligible_ids(&discovery.take_catalogue().unwrap()), [""; 0]);
-    let subject = RegistryKey::DomainOut("west".into());
-    discovery.step(2, DiscoveryEvent::EntryRemoved { key: subject, revision: 9 });
+    let key = RegistryKey::DomainOut("west".into());
+    discovery.step(2, DiscoveryEvent::EntryRemoved { key, revision: 9 });
     assert_eq!(eligible_ids(&discovery.take_catalogue().unwrap()), ["a", "b"]);
 }
 
-/// The store turns this node away while a failure domain is taken out, a replica leaves and a
-/// configuration comes. A peer that follows the store tells all of it.
+/// Guards against missed changes while the store is unavailable to this node. A replica leaves and
+/// a new configuration is written; the entries of a peer that follows the store must bring both.
 #[test]
 fn peer_entries_replace_missing_store() {
     let mut discovery = listed_discovery();
     discovery.step(1, DiscoveryEvent::StoreUnavailable);
     let next = RouteConfiguration { version: 9, ..RouteConfiguration::default() };
-    let facts = vec![
+    let entries = vec![
         (RegistryEntry::Configuration(next), 0),
         (RegistryEntry::Replica(replica_entry("b")), 5),
     ];
-    discovery.step(2, DiscoveryEvent::PeerEntries { entries: facts, revision: 12 });
+    discovery.step(2, DiscoveryEvent::PeerEntries { entries, revision: 12 });
     assert_eq!(discovery.configuration_version(), 9);
     assert_eq!(eligible_ids(&discovery.take_catalogue().unwrap()), ["b"]);
 }
 
-/// The store turns this node away but serves its peers. An entry that goes is a replica that
-/// leaves: it did not lapse, and is not kept for two seconds as after an outage.
+/// Guards against holding a replica that left. The store is unavailable to this node but serves its
+/// peers, so a removed entry did not expire in an outage, and its replica must not be held for two
+/// seconds.
 #[test]
 fn entry_is_not_held_while_peers_sync() {
     let mut discovery = listed_discovery();
@@ -189,45 +195,48 @@
     assert_eq!(eligible_ids(&discovery.take_catalogue().unwrap()), ["b"]);
 }
 
-/// What a peer does not name but learned nothing of either stays.
+/// Guards against a lagging peer that removes entries it has not seen yet.
 #[test]
 fn lagging_peer_removes_nothing() {
     let mut discovery = listed_discovery();
-    let facts = vec![(RegistryEntry::Replica(replica_entry("a")), 4)];
-    discovery.step(2, DiscoveryEvent::PeerEntries { entries: facts, revision: 4 });
+    let entries = vec![(RegistryEntry::Replica(replica_entry("a")), 4)];
+    discovery.step(2, DiscoveryEvent::PeerEntries { entries, revision: 4 });
     assert_eq!(eligible_ids(&discovery.take_catalogue().unwrap()), ["a", "b"]);
 }
 
-/// A replica has just started and says with each heartbeat how much longer it is cold. That it is
-/// cold until the same moment is no news: 405 replicas that started at once had each node of 64
-/// build its catalogue anew and log a line four times for each.
+/// Guards against a catalogue that is rebuilt for each heartbeat of a cold replica. The heartbeats
+/// report the remaining time of the cold start, but its end stays the same. Otherwise, when 405
+/// replicas start at once, each of 64 nodes rebuilds its catalogue and logs a line four times for
+/// each replica.
 #[test]
 fn cold_heartbeats_change_nothing() {
     let mut discovery = listed_discovery();
     discovery.take_catalogue();
     discovery.take_log_events();
-    let beat = |sequence, cold_for_ms| ReplicaEntry { sequence, cold_for_ms, ..replica_entry("c") };
-    discovery.step(0, replica_seen(beat(1, 3_000), 7));
+    let heartbeat =
+        |sequence, cold_for_ms| ReplicaEntry { sequence, cold_for_ms, ..replica_entry("c") };
+    discovery.step(0, replica_seen(heartbeat(1, 3_000), 7));
     assert!(discovery.take_catalogue().is_some());
     assert_eq!(discovery.take_log_events().len(), 1);
     for (at_ms, sequence, cold_for_ms) in [(1_200, 2, 1_700), (2_300, 3, 600), (3_600, 4, 0)] {
-        discovery.step(at_ms * 1_000, replica_seen(beat(sequence, cold_for_ms), 7 + sequence));
+        discovery.step(at_ms * 1_000, replica_seen(heartbeat(sequence, cold_for_ms), 7 + sequence));
         assert!(discovery.take_catalogue().is_none(), "heartbeat {sequence}");
         assert!(discovery.take_log_events().is_empty(), "heartbeat {sequence}");
     }
-    discovery.step(5_000_000, replica_seen(beat(5, 3_000), 12));
+    discovery.step(5_000_000, replica_seen(heartbeat(5, 3_000), 12));
     assert!(discovery.take_catalogue().is_some(), "cold again");
-    discovery.step(5_500_000, replica_seen(beat(6, 0), 13));
-    assert!(discovery.take_catalogue().is_some(), "warm before it said");
-    discovery.step(9_000_000, replica_seen(beat(6, 0), 13));
+    discovery.step(5_500_000, replica_seen(heartbeat(6, 0), 13));
+    assert!(discovery.take_catalogue().is_some(), "warm earlier than reported");
+    discovery.step(9_000_000, replica_seen(heartbeat(6, 0), 13));
     assert!(discovery.take_catalogue().is_none(), "listed again");
-    let draining = ReplicaEntry { is_draining: true, ..beat(7, 0) };
+    let draining = ReplicaEntry { is_draining: true, ..heartbeat(7, 0) };
     discovery.step(9_500_000, replica_seen(draining, 14));
     assert!(discovery.take_catalogue().is_some(), "leaving");
 }
 
-/// A node starts from a peer, after it has registered itself. It must find its registration among
-/// what the peer tells: in a fleet of 64, 56 that did not registered twice, 224 calls to the store.
+/// Guards against nodes that register twice. A node that bootstraps from a peer after it registered
+/// must find its registration among the peer's entries. Otherwise, in a fleet of 64, 56 nodes
+/// register twice, which costs 224 calls to the store.
 #[test]
 fn peer_entries_include_registrations() {
     let member = MemberUpdate {
@@ -241,8 +250,8 @@
         incarnation: 1,
     };
     let mut peer = listed_discovery();
-    let fact = RegistryEntry::Node(NodeRegistration { member, node_count: 1 });
-    peer.step(1, DiscoveryEvent::EntrySeen { entry: fact, revision: 7 });
+    let entry = RegistryEntry::Node(NodeRegistration { member, node_count: 1 });
+    peer.step(1, DiscoveryEvent::EntrySeen { entry, revision: 7 });
     let mut discovery = Discovery::default();
     discovery.step(2, DiscoveryEvent::PeerEntries { entries: peer.entries(), revision: 7 });
     assert!(discovery.is_registered("vm-1"));
--- a/crates/sassafrasproxy-core/tests/gossip_convergence.rs
+++ b/crates/sassafrasproxy-core/tests/gossip_convergence.rs
@@ -1,4 +1,4 @@
-//! Views of the members under drawn faults.
+//! Tests that the views of the members converge after random faults.
 
 mod nodes;
 
@@ -6,8 +6,9 @@
 use proptest::prelude::*;
 use sassafrasproxy_core::PeerDatagram;
 
-/// The seconds of calm after which all views must agree: a death, its forgetting by none, and some
-/// exchanges.
+/// The seconds without faults after which all views must agree.
+///
+/// Long enough to detect a death and for a few exchanges; dead members need not be dropped yet.
 const CONVERGENCE_S: u64 = 12;
 
 /// Something that happens to a fleet.
@@ -15,13 +16,13 @@
 enum Fault {
     /// A node loses power.
     Crash(usize),
-    /// A node is back, with or without what it knew.
+    /// A node returns, either restarted without its state or resumed with it.
     Return { node: usize, is_new: bool },
-    /// A node leaves as planned.
+    /// A node announces that it leaves, and leaves.
     Leave(usize),
-    /// A share of the datagrams is lost from now on, in hundredths.
+    /// The share of datagrams that are lost from now on, in hundredths.
     SetLossRate(u8),
-    /// Time passes, in tenths of a second.
+    /// Time advances by a number of tenths of a second.
     Advance(u8),
 }
 
@@ -66,7 +67,7 @@
 proptest! {
     #![proptest_config(ProptestConfig::with_cases(60))]
 
-    /// Guards against views that stay apart, or news that never end, after any faults.
+    /// Guards against views that never agree, or updates that are sent forever, after any faults.
     #[test]
     fn views_converge_after_faults(
         size in 2..40_usize,
@@ -78,25 +79,25 @@
             apply(&mut fleet, fault, &mut incarnation);
         }
         fleet.loss_rate = 0.0;
-        // A node that left stays away; its process has ended.
+        // A node that left stays offline, because its process has ended.
         fleet.run_s(CONVERGENCE_S);
-        let live = fleet.online();
-        prop_assume!(!live.is_empty() && live.contains(&0));
-        prop_assert_eq!(fleet.node_count_range(), (live.len(), live.len()));
-        let hashes: Vec<u64> = live.iter().map(|at| fleet.nodes[*at].members_hash()).collect();
+        let online = fleet.online();
+        prop_assume!(!online.is_empty() && online.contains(&0));
+        prop_assert_eq!(fleet.node_count_range(), (online.len(), online.len()));
+        let hashes: Vec<u64> = online.iter().map(|i| fleet.nodes[*i].members_hash()).collect();
         prop_assert!(hashes.iter().all(|hash| *hash == hashes[0]), "{hashes:?}");
         fleet.max_datagram_bytes = 0;
         fleet.run_s(2);
-        prop_assert!(fleet.max_datagram_bytes <= 300, "{} bytes in calm", fleet.max_datagram_bytes);
+        prop_assert!(fleet.max_datagram_bytes <= 300, "{} bytes at idle", fleet.max_datagram_bytes);
     }
 
-    /// Guards against a damaged datagram that ends the process.
+    /// Guards against a malformed datagram that crashes the process.
     #[test]
     fn arbitrary_bytes_do_not_panic(bytes in prop::collection::vec(any::<u8>(), 0..200)) {
-        let mut marked = vec![1];
-        marked.extend(&bytes);
-        let read = [PeerDatagram::decode(&bytes), PeerDatagram::decode(&marked)];
-        for datagram in read.into_iter().flatten() {
+        let mut prefixed = vec![1];
+        prefixed.extend(&bytes);
+        let decoded = [PeerDatagram::decode(&bytes), PeerDatagram::decode(&prefixed)];
+        for datagram in decoded.into_iter().flatten() {
             let mut fleet = Fleet::new(2);
             fleet.run_s(1);
             let now_us = fleet.now_us;
--- a/crates/sassafrasproxy-core/tests/gossip_traffic.rs
+++ b/crates/sassafrasproxy-core/tests/gossip_traffic.rs
@@ -1,4 +1,4 @@
-//! What membership costs a node, at each size of the fleet.
+//! Tests the network traffic of gossip at several fleet sizes.
 
 #![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 
@@ -6,11 +6,11 @@
 
 use nodes::Fleet;
 
-/// The bytes that a node may send in five calm seconds: 1 KB a second.
+/// The maximum number of bytes that a node may send in five idle seconds: 1 KB per second.
 const MAX_IDLE_BYTES: usize = 5 * 1_024;
 
-/// Guards against a start in which each node greets each other one, and against heartbeats that go
-/// on telling what everybody knows.
+/// Guards against a startup in which each node contacts every other node, and against heartbeats
+/// that continue to carry updates that all nodes already know.
 #[test]
 fn startup_and_idle_traffic() {
     for (size, within_ms) in [(8, 3_000), (195, 3_000), (1_000, 10_000)] {
@@ -23,14 +23,14 @@
                 fleet.node_count_range()
             );
         }
-        let met_ms = fleet.now_us / 1_000;
+        let joined_ms = fleet.now_us / 1_000;
         fleet.run_s(5);
         let all = fleet.take_total_sent();
         let (bytes, datagrams) = (all.bytes / size, all.datagrams / size);
-        println!("{size} nodes: {met_ms} ms, {bytes} bytes and {datagrams} datagrams a node");
-        println!("{size} nodes: {} bytes a node to other domains", all.cross_domain_bytes / size);
+        println!("{size} nodes: {joined_ms} ms, {bytes} bytes and {datagrams} datagrams per node");
+        println!("{size} nodes: {} bytes per node to other domains", all.cross_domain_bytes / size);
         assert!(fleet.max_datagram_bytes <= 1_200, "{} bytes", fleet.max_datagram_bytes);
-        assert!(size > 195 || bytes <= 60_000, "{bytes} bytes a node");
+        assert!(size > 195 || bytes <= 60_000, "{bytes} bytes per node");
         fleet.max_datagram_bytes = 0;
         fleet.run_s(5);
         let most = fleet.take_max_sent();
@@ -40,7 +40,7 @@
     }
 }
 
-/// Guards against one node's return that each node tells each other one.
+/// Guards against a restart of one node that every node reports to every other node.
 #[test]
 fn single_restart_traffic() {
     for size in [8, 200] {
@@ -48,19 +48,20 @@
         fleet.run_s(20);
         fleet.take_total_sent();
         fleet.run_s(10);
-        let calm = fleet.take_total_sent();
+        let idle = fleet.take_total_sent();
         fleet.restart(5, 2);
         fleet.run_s(10);
         let all = fleet.take_total_sent();
-        let more = all.bytes.saturating_sub(calm.bytes) / size;
-        println!("{size} nodes: {more} bytes a node for a restart");
+        let more = all.bytes.saturating_sub(idle.bytes) / size;
+        println!("{size} nodes: {more} bytes per node for a restart");
         assert_eq!(fleet.node_count_range(), (size, size));
-        assert!(more <= 2_000, "{more} bytes a node at {size}");
+        assert!(more <= 2_000, "{more} bytes per node at {size}");
     }
 }
 
-/// Guards against a rolling restart whose news grow with the fleet: what a node sends for each node
-/// that leaves and comes back grows no faster than the logarithm.
+/// Guards against a rolling restart whose traffic per node grows with the fleet. The bytes that a
+/// node sends for each node that leaves and returns may grow no faster than the logarithm of the
+/// fleet's size.
 #[test]
 fn rolling_restart_traffic() {
     let mut smallest = None;
@@ -69,27 +70,27 @@
         fleet.run_s(10);
         fleet.take_total_sent();
         fleet.run_s(18);
-        let calm = fleet.take_total_sent();
+        let idle = fleet.take_total_sent();
         for round in 0..8 {
-            let rolled: Vec<usize> = (0..5).map(|nth| 1 + round * 5 + nth).collect();
-            for at in &rolled {
-                let sends = fleet.nodes[*at].leave(fleet.now_us);
-                fleet.deliver(*at, sends);
-                fleet.offline.insert(*at);
+            let restarted: Vec<usize> = (0..5).map(|nth| 1 + round * 5 + nth).collect();
+            for index in &restarted {
+                let sends = fleet.nodes[*index].leave(fleet.now_us);
+                fleet.deliver(*index, sends);
+                fleet.offline.insert(*index);
             }
             fleet.run_us(500_000);
-            for at in rolled {
-                fleet.restart(at, 2 + round as u64);
+            for index in restarted {
+                fleet.restart(index, 2 + round as u64);
             }
             fleet.run_us(500_000);
         }
         fleet.run_s(10);
         assert_eq!(fleet.node_count_range(), (size, size));
-        let more = fleet.take_total_sent().bytes.saturating_sub(calm.bytes) / size / 40;
-        println!("{size} nodes: {more} bytes a node for each restart");
+        let more = fleet.take_total_sent().bytes.saturating_sub(idle.bytes) / size / 40;
+        println!("{size} nodes: {more} bytes per node for each restart");
         let doublings = f64::from(u32::try_from(size).unwrap()).log2();
         let rate = more as f64 / doublings;
         let most = *smallest.get_or_insert(rate);
-        assert!(rate <= most, "{rate} of {most} bytes a node for each doubling at {size}");
+        assert!(rate <= most, "{rate} of {most} bytes per node for each doubling at {size}");
     }
 }
--- a/crates/sassafrasproxy-core/tests/nodes/mod.rs
+++ b/crates/sassafrasproxy-core/tests/nodes/mod.rs
@@ -1,4 +1,4 @@
-//! Nodes that exchange datagrams in virtual time.
+//! Simulates a fleet of nodes that exchange gossip datagrams in virtual time.
 
 #![allow(dead_code, clippy::unwrap_used, reason = "each test file uses its part")]
 
@@ -13,31 +13,31 @@
 
 pub const SECOND_US: u64 = 1_000_000;
 
-/// How finely time passes: the ticks of a node are no closer.
+/// The step of virtual time; the ticks of a node are at least as far apart.
 const STEP_US: u64 = 50_000;
 
-/// What some nodes sent.
+/// The traffic that one or more nodes sent.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct SentTraffic {
     pub datagrams: usize,
     pub bytes: usize,
-    /// The bytes that went to another failure domain.
+    /// The bytes sent to other failure domains.
     pub cross_domain_bytes: usize,
 }
 
-/// A fleet whose nodes have the first as their seed.
+/// A fleet whose nodes use the first node as their seed.
 pub struct Fleet {
     pub nodes: Vec<Gossip>,
     pub now_us: u64,
-    /// Nodes that neither send nor hear.
+    /// The nodes that neither send nor receive.
     pub offline: IndexSet<usize>,
-    /// What share of the datagrams is lost.
+    /// The share of datagrams that are lost.
     pub loss_rate: f64,
-    /// What each node sent.
+    /// The traffic that each node sent since it was last taken.
     pub sent: Vec<SentTraffic>,
-    /// The longest datagram, in bytes.
+    /// The size of the largest datagram, in bytes.
     pub max_datagram_bytes: usize,
-    /// Datagrams about roll-outs that came, with the nodes that they came to.
+    /// The datagrams about rollouts that were received, each with its receiver.
     pub rollout_datagrams: Vec<(usize, PeerDatagram)>,
     domains: usize,
     next_ticks_us: Vec<u64>,
@@ -45,17 +45,17 @@
 }
 
 impl Fleet {
-    /// Nodes of a whole core in four failure domains.
+    /// Creates nodes with one core each, in four failure domains.
     pub fn new(count: usize) -> Self {
         Self::with_cpu(count, |_| 1_000)
     }
 
-    /// Nodes that have so many thousandths of a core.
+    /// Creates nodes with the given CPU, in thousandths of a core, in four failure domains.
     pub fn with_cpu(count: usize, cpu_millis: impl Fn(usize) -> u32) -> Self {
         Self::with_domains(count, 4, cpu_millis)
     }
 
-    /// Nodes in a number of failure domains.
+    /// Creates nodes in the given number of failure domains.
     pub fn with_domains(count: usize, domains: usize, cpu_millis: impl Fn(usize) -> u32) -> Self {
         let mut fleet = Self {
             nodes: Vec::new(),
@@ -69,39 +69,39 @@
             next_ticks_us: Vec::new(),
             rng: StdRng::seed_from_u64(1),
         };
-        for at in 0..count {
-            fleet.nodes.push(fleet.new_node(at, cpu_millis(at), 1));
+        for index in 0..count {
+            fleet.nodes.push(fleet.new_node(index, cpu_millis(index), 1));
             fleet.sent.push(SentTraffic::default());
             fleet.next_ticks_us.push(0);
         }
         fleet
     }
 
-    fn new_node(&self, at: usize, cpu_millis: u32, incarnation: u64) -> Gossip {
-        let me = MemberUpdate {
-            node: node_name(at),
-            peer_address: peer_address(at),
-            address: caller_address(at),
-            failure_domain: eco_format!("domain-{}", at % self.domains),
-            relay_address: eco_format!("10.1.{}.{}:7380", at / 256, at % 256),
+    fn new_node(&self, index: usize, cpu_millis: u32, incarnation: u64) -> Gossip {
+        let local_member = MemberUpdate {
+            node: node_name(index),
+            peer_address: peer_address(index),
+            address: caller_address(index),
+            failure_domain: eco_format!("domain-{}", index % self.domains),
+            relay_address: eco_format!("10.1.{}.{}:7380", index / 256, index % 256),
             cpu_millis,
             state: MemberState::Alive,
             incarnation,
         };
         Gossip::new(
-            &me,
+            &local_member,
             [peer_address(0)],
             GossipPolicy::default(),
-            at as u64 + incarnation,
+            index as u64 + incarnation,
             self.now_us,
         )
     }
 
-    /// Starts a node again that knows nothing of before.
-    pub fn restart(&mut self, at: usize, incarnation: u64) {
-        self.nodes[at] = self.new_node(at, 1_000, incarnation);
-        self.next_ticks_us[at] = self.now_us;
-        self.offline.swap_remove(&at);
+    /// Restarts a node without its previous state.
+    pub fn restart(&mut self, index: usize, incarnation: u64) {
+        self.nodes[index] = self.new_node(index, 1_000, incarnation);
+        self.next_ticks_us[index] = self.now_us;
+        self.offline.swap_remove(&index);
     }
 
     pub fn run_s(&mut self, seconds: u64) {
@@ -112,13 +112,14 @@
         let end_us = self.now_us + time_us;
         while self.now_us < end_us {
             self.now_us += STEP_US;
-            for at in 0..self.nodes.len() {
-                if self.now_us < self.next_ticks_us[at] || self.offline.contains(&at) {
+            for index in 0..self.nodes.len() {
+                if self.now_us < self.next_ticks_us[index] || self.offline.contains(&index) {
                     continue;
                 }
-                let sends = self.nodes[at].tick(self.now_us);
-                self.deliver(at, sends);
-                self.next_ticks_us[at] = self.now_us + self.nodes[at].tick_delay_us(self.now_us);
+                let sends = self.nodes[index].tick(self.now_us);
+                self.deliver(index, sends);
+                self.next_ticks_us[index] =
+                    self.now_us + self.nodes[index].tick_delay_us(self.now_us);
             }
         }
     }
@@ -144,69 +145,70 @@
 
     fn record_sent(&mut self, from: usize, to: usize, send: &OutgoingDatagram) {
         let length = send.datagram.encode().unwrap().len();
-        let is_far = from % self.domains != to % self.domains;
-        self.sent[from].cross_domain_bytes += if is_far { length } else { 0 };
+        let is_cross_domain = from % self.domains != to % self.domains;
+        self.sent[from].cross_domain_bytes += if is_cross_domain { length } else { 0 };
         self.max_datagram_bytes = self.max_datagram_bytes.max(length);
         self.sent[from].datagrams += 1;
         self.sent[from].bytes += length;
     }
 
-    /// What the busiest node sent since the last call.
+    /// Takes the traffic of the node that sent the most bytes since the last call.
     pub fn take_max_sent(&mut self) -> SentTraffic {
         let most = self.sent.iter().max_by_key(|sent| sent.bytes).copied().unwrap_or_default();
         self.sent.fill(SentTraffic::default());
         most
     }
 
-    /// What all nodes sent since the last call.
+    /// Takes the traffic of all nodes since the last call.
     pub fn take_total_sent(&mut self) -> SentTraffic {
         let bytes = self.sent.iter().map(|sent| sent.bytes).sum();
-        let far_bytes = self.sent.iter().map(|sent| sent.cross_domain_bytes).sum();
+        let cross_domain_bytes = self.sent.iter().map(|sent| sent.cross_domain_bytes).sum();
         let datagrams = self.sent.iter().map(|sent| sent.datagrams).sum();
         self.sent.fill(SentTraffic::default());
-        SentTraffic { datagrams, bytes, cross_domain_bytes: far_bytes }
+        SentTraffic { datagrams, bytes, cross_domain_bytes }
     }
 
-    /// The nodes that are not silent.
+    /// Returns the nodes that are not offline.
     pub fn online(&self) -> Vec<usize> {
-        (0..self.nodes.len()).filter(|at| !self.offline.contains(at)).collect()
+        (0..self.nodes.len()).filter(|index| !self.offline.contains(index)).collect()
     }
 
-    /// The least and the most nodes that any live node counts.
+    /// Returns the smallest and the largest node count among the online nodes.
     pub fn node_count_range(&self) -> (usize, usize) {
         let counts: Vec<usize> =
-            self.online().into_iter().map(|at| self.nodes[at].node_count()).collect();
+            self.online().into_iter().map(|index| self.nodes[index].node_count()).collect();
         (*counts.iter().min().unwrap(), *counts.iter().max().unwrap())
     }
 
-    /// The nodes that follow the store themselves.
+    /// Returns the online nodes that watch the store.
     pub fn watchers(&self) -> IndexSet<usize> {
-        let is_watcher = |at: &usize| self.nodes[*at].sync_source(self.now_us) == SyncSource::Store;
+        let is_watcher =
+            |index: &usize| self.nodes[*index].sync_source(self.now_us) == SyncSource::Store;
         self.online().into_iter().filter(is_watcher).collect()
     }
 
-    /// The state in which a node sees another.
-    pub fn observed_state(&self, at: usize, other: usize) -> Option<MemberState> {
+    /// Returns the state of another node as a node sees it; `None` if it is dead or unknown.
+    pub fn observed_state(&self, index: usize, other: usize) -> Option<MemberState> {
         let address = caller_address(other);
-        let nodes = self.nodes[at].directory_nodes();
+        let nodes = self.nodes[index].directory_nodes();
         nodes.iter().find(|node| node.address == address).map(|node| node.state)
     }
 }
 
-pub fn node_name(at: usize) -> EcoString {
-    eco_format!("edge-east-quay-{at}")
+pub fn node_name(index: usize) -> EcoString {
+    eco_format!("edge-east-quay-{index}")
 }
 
-fn caller_address(at: usize) -> EcoString {
-    eco_format!("10.1.{}.{}:8104", at / 256, at % 256)
+fn caller_address(index: usize) -> EcoString {
+    eco_format!("10.1.{}.{}:8104", index / 256, index % 256)
 }
 
-/// The peer address of a node.
-pub fn peer_address(at: usize) -> EcoString {
-    eco_format!("10.1.{}.{}:8106", at / 256, at % 256)
+/// Returns the peer address of a node.
+pub fn peer_address(index: usize) -> EcoString {
+    eco_format!("10.1.{}.{}:8106", index / 256, index % 256)
 }
 
-/// The node that has a peer address.
+/// Returns the node that has a peer address.
 pub fn node_index(peer_address: &str) -> usize {
     let (host, _) = peer_address.split_once(':').unwrap();
     let parts: Vec<usize> = host.split('.').map(|part| part.parse().unwrap()).collect();
--- a/crates/sassafrasproxy-core/tests/store_sync.rs
+++ b/crates/sassafrasproxy-core/tests/store_sync.rs
@@ -1,4 +1,4 @@
-//! Following the store by list and watch.
+//! Tests how a node follows the store by list and watch.
 
 use sassafrasproxy_core::{StoreCallOutcome, StoreStep, StoreSync, StoreSyncPolicy};
 
@@ -6,12 +6,12 @@
     StoreSync::new(StoreSyncPolicy::default(), 7)
 }
 
-fn page(revision: u64, next_after: Option<&str>) -> StoreCallOutcome {
-    StoreCallOutcome::Page { revision, next_after_key: next_after.map(Into::into) }
+fn page(revision: u64, next_after_key: Option<&str>) -> StoreCallOutcome {
+    StoreCallOutcome::Page { revision, next_after_key: next_after_key.map(Into::into) }
 }
 
-/// Items change while later pages are read. The watch starts at the first page's revision, so
-/// that no change falls between the pages.
+/// Guards against changes that are missed because they are made while later pages of a list are
+/// read. The watch must start at the first page's revision.
 #[test]
 fn watch_starts_at_first_page() {
     let mut sync = new_sync();
@@ -22,9 +22,9 @@
     assert!(matches!(sync.next_step(0), StoreStep::Watch { after_revision: 10, .. }));
 }
 
-/// While the second page of a list is read, a replica of the first page leaves. A node that said
-/// it knew everything up to the second page's revision would never tell its followers of that,
-/// and they would go on sending to the replica.
+/// Guards against followers that continue to send to a replica that left. The replica is on the
+/// first page of a list and leaves while the second page is read. A node that reported the second
+/// page's revision as synced would never pass the removal on to its followers.
 #[test]
 fn synced_revision_while_paging() {
     let mut sync = new_sync();
@@ -32,12 +32,13 @@
     sync.record_outcome(0, page(10, Some("k5")));
     assert_eq!(sync.synced_revision(), 0);
     sync.record_outcome(0, page(14, None));
-    assert_eq!(sync.synced_revision(), 10, "the change at 12 is still to come");
+    assert_eq!(sync.synced_revision(), 10, "the change at 12 was not received yet");
     sync.record_outcome(0, StoreCallOutcome::WatchCompleted { revision: 15, has_changes: true });
     assert_eq!(sync.synced_revision(), 15);
 }
 
-/// A node that learned everything from a peer goes on by watching from there, without a list.
+/// A node that learned all entries from a peer continues with a watch after the peer's revision,
+/// without a list.
 #[test]
 fn resume_without_list() {
     let mut sync = new_sync();
@@ -46,7 +47,8 @@
     assert!(matches!(sync.next_step(0), StoreStep::Watch { after_revision: 40, .. }));
 }
 
-/// A list that broke off starts anew: its first pages are no longer the newest.
+/// Guards against a list that combines outdated pages with new ones. An interrupted list must
+/// restart from its first page.
 #[test]
 fn failed_list_restarts() {
     let mut sync = new_sync();
@@ -56,7 +58,8 @@
     assert_eq!(sync.next_step(until_us), StoreStep::List { after_key: None });
 }
 
-/// The store forgets its history: what was missed comes by a new list.
+/// Guards against changes that are missed because the store compacted its history. A new list must
+/// follow.
 #[test]
 fn compacted_history_restarts_list() {
     let mut sync = new_sync();
@@ -65,7 +68,7 @@
     assert_eq!(sync.next_step(0), StoreStep::List { after_key: None });
 }
 
-/// A watch that failed goes on from where it was, after pauses that grow to a bound.
+/// A failed watch resumes from its revision, after a backoff that grows up to a maximum.
 #[test]
 fn failed_watch_backs_off() {
     let policy = StoreSyncPolicy::default();
@@ -88,40 +91,45 @@
     assert!(matches!(sync.next_step(now_us), StoreStep::Watch { after_revision: 12, .. }));
 }
 
-/// Forty replicas register one after the other: their changes share some calls.
+/// Guards against a call for each change when many replicas register one after another. The next
+/// watch must start after a delay, so that several changes share a call.
 #[test]
 fn changes_are_coalesced() {
     let mut sync = new_sync();
     sync.record_outcome(0, page(10, None));
     sync.record_outcome(0, StoreCallOutcome::WatchCompleted { revision: 11, has_changes: true });
-    let gather_us = StoreSyncPolicy::default().coalesce_delay_us;
-    assert_eq!(sync.next_step(0), StoreStep::Pause { until_us: gather_us });
-    assert!(matches!(sync.next_step(gather_us), StoreStep::Watch { after_revision: 11, .. }));
+    let delay_us = StoreSyncPolicy::default().coalesce_delay_us;
+    assert_eq!(sync.next_step(0), StoreStep::Pause { until_us: delay_us });
+    assert!(matches!(sync.next_step(delay_us), StoreStep::Watch { after_revision: 11, .. }));
 }
 
-/// The store takes all nodes' watches while it is down and never answers them. It is back two
-/// seconds later and acknowledges a configuration, which must be in force five seconds later: by
-/// then every node must have given the watch up, though neither its connection nor any peer shows
-/// that something is wrong. With a wait of 10 s, callers of 64 nodes got the old routes for ten.
+/// Guards against callers that get outdated routes because all watches hang. The store accepts all
+/// nodes' watches while it is down and never answers them. It recovers two seconds later and
+/// acknowledges a configuration, which must be active five seconds later. By then each node must
+/// have timed out its watch, although neither its connection nor any peer shows a failure. With a
+/// watch timeout of 10 s, callers of 64 nodes get the old routes for ten seconds.
 #[test]
 fn hung_watch_times_out() {
-    const BACK_MS: u64 = 1_700;
-    const IN_FORCE_MS: u64 = 5_000;
-    // What the gateway adds to the wait before it gives a call up.
-    const CALL_LIMIT_MS: u64 = 1_500;
+    const RECOVERY_MS: u64 = 1_700;
+    const ACTIVATION_LIMIT_MS: u64 = 5_000;
+    // The gateway's timeout of a call, which it adds to the time that the watch waits.
+    const CALL_TIMEOUT_MS: u64 = 1_500;
     let mut sync = new_sync();
     sync.record_outcome(0, page(10, None));
     let StoreStep::Watch { wait_ms, .. } = sync.next_step(0) else { panic!("no watch") };
-    let noticed_ms = wait_ms + CALL_LIMIT_MS;
-    sync.record_outcome(noticed_ms * 1_000, StoreCallOutcome::Failed);
-    let StoreStep::Pause { until_us } = sync.next_step(noticed_ms * 1_000) else {
+    let detected_ms = wait_ms + CALL_TIMEOUT_MS;
+    sync.record_outcome(detected_ms * 1_000, StoreCallOutcome::Failed);
+    let StoreStep::Pause { until_us } = sync.next_step(detected_ms * 1_000) else {
         panic!("no pause")
     };
-    assert!(until_us < (BACK_MS + IN_FORCE_MS) * 1_000, "noticed after {noticed_ms} ms");
+    assert!(
+        until_us < (RECOVERY_MS + ACTIVATION_LIMIT_MS) * 1_000,
+        "detected after {detected_ms} ms"
+    );
 }
 
-/// What a minute in which nothing changes costs a node that watches: 15 calls. Each is paid for,
-/// and the store's rate grows more slowly than the fleet.
+/// Guards against too many calls while nothing changes. A node that watches may make 15 calls per
+/// minute: each call is paid for, and the store's rate limit grows more slowly than the fleet.
 #[test]
 fn idle_call_rate() {
     let mut sync = new_sync();
