--- a/crates/sassafrasproxy-core/src/forward/registry/discovery/mod.rs
+++ b/crates/sassafrasproxy-core/src/forward/registry/discovery/mod.rs
@@ -51,8 +51,8 @@
 
 impl Discovery {
     /// Creates an empty state; without a participant, there are no rollouts.
-    pub fn new(scope: Option<RolloutParticipant>) -> Self {
-        Self { rollouts: RolloutEntries::new(scope), ..Self::default() }
+    pub fn new(participant: Option<RolloutParticipant>) -> Self {
+        Self { rollouts: RolloutEntries::new(participant), ..Self::default() }
     }
 
     /// Applies an event.
@@ -170,7 +170,9 @@
         self.hold_until_us
     }
 
-    /// Returns all known entries with their revisions, for a peer that does not list the store.
+    /// Returns all known entries, for a peer that does not list the store.
+    ///
+    /// Each comes with its revision, except the configuration and registrations, which have 0.
     pub fn entries(&self) -> Vec<(RegistryEntry, u64)> {
         let mut entries = Vec::new();
         if self.configuration.version > 0 {
@@ -271,11 +273,13 @@
         for (entry, revision) in entries {
             self.apply_entry(now_us, entry, revision);
         }
-        let is_removed = |key: RegistryKey, known: u64| known < revision && !listed.contains(&key);
+        let is_removed = |key: RegistryKey, known_revision: u64| {
+            known_revision < revision && !listed.contains(&key)
+        };
         let domains = self.domains_out.iter();
         let brought_back: Vec<EcoString> = domains
-            .filter(|(domain, (known, _))| {
-                is_removed(RegistryKey::DomainOut((*domain).clone()), *known)
+            .filter(|(domain, (known_revision, _))| {
+                is_removed(RegistryKey::DomainOut((*domain).clone()), *known_revision)
             })
             .map(|(domain, _)| domain.clone())
             .collect();
@@ -291,8 +295,8 @@
             self.remove_replica(id);
         }
         let rollouts: Vec<(RegistryKey, u64)> = self.rollouts.keys().collect();
-        for (key, known) in rollouts {
-            if is_removed(key.clone(), known) {
+        for (key, known_revision) in rollouts {
+            if is_removed(key.clone(), known_revision) {
                 self.remove_entry(now_us, &key, revision);
             }
         }
--- a/crates/sassafrasproxy-core/src/forward/registry/gossip/mod.rs
+++ b/crates/sassafrasproxy-core/src/forward/registry/gossip/mod.rs
@@ -171,8 +171,8 @@
     pub fn tick_delay_us(&self, now_us: u64) -> u64 {
         let is_alone =
             now_us < self.started_us + self.policy.isolated_wait_us && self.node_count() == 1;
-        let is_startup_pace = is_alone || (self.is_starting(now_us) && self.views_differ);
-        if is_startup_pace {
+        let is_converging = is_alone || (self.is_starting(now_us) && self.views_differ);
+        if is_converging {
             self.policy.startup_tick_interval_us
         } else {
             self.policy.tick_interval_us
@@ -195,12 +195,12 @@
         self.record_changes(now_us, changes);
         let retries = self.probes.retry_missed(now_us, &self.members);
         let mut targets = IndexSet::new();
-        let is_startup_pace = self.is_starting(now_us) && self.views_differ;
-        if is_startup_pace {
+        let is_converging = self.is_starting(now_us) && self.views_differ;
+        if is_converging {
             targets.extend(self.same_domain_peers(self.policy.startup_probes_per_tick));
         }
         self.ticks += 1;
-        let is_any_domain_due = !is_startup_pace
+        let is_any_domain_due = !is_converging
             || targets.is_empty()
             || self.ticks.is_multiple_of(ANY_DOMAIN_PROBE_INTERVAL_TICKS);
         let probes = if is_any_domain_due { self.policy.probes_per_tick } else { 0 };
@@ -216,7 +216,7 @@
         let retries = std::iter::repeat_n(retries, RETRY_PROBE_COPIES).flatten();
         let mut sends: Vec<OutgoingDatagram> =
             targets.into_iter().chain(retries).map(|address| self.probe(now_us, address)).collect();
-        if is_startup_pace {
+        if is_converging {
             for send in &mut sends {
                 send.datagram.digests = Some(self.digests(None));
             }
--- a/crates/sassafrasproxy-core/src/forward/registry/source_selector.rs
+++ b/crates/sassafrasproxy-core/src/forward/registry/source_selector.rs
@@ -12,8 +12,7 @@
 /// How long a node that reports the store as unavailable is ranked last, in microseconds.
 const STORE_UNAVAILABLE_BACKOFF_US: u64 = 30_000_000;
 
-/// The maximum number of deprioritized peers; above it, the one that failed first
-/// regains its rank.
+/// The maximum number of deprioritized peers; above it, the one that failed first regains its rank.
 ///
 /// Bounds the number of nodes that replace watchers at the same time while the store itself fails.
 const MAX_DEPRIORITIZED: usize = 8;
@@ -62,6 +61,7 @@
 
 #[derive(Debug, Clone, Copy)]
 struct Deprioritization {
+    /// Until when the node is ranked last, in microseconds.
     until_us: u64,
     /// Whether the node itself reported the store as unavailable.
     is_store_unavailable: bool,
@@ -102,6 +102,8 @@
 
     /// Returns the source from which this node learns the entries of the store.
     ///
+    /// The first `watchers` nodes of the order watch the store.
+    ///
     /// The first node of a failure domain follows the store or a watcher. The others form a tree
     /// below it, so that a change is sent into each failure domain only once.
     pub fn sync_source(&self, now_us: u64, members: &MemberTable, watchers: usize) -> SyncSource {
@@ -196,7 +198,7 @@
     NotFound,
 }
 
-/// Returns the larger node that this node bootstraps from.
+/// Searches for the larger node that this node bootstraps from.
 ///
 /// A larger node has at least twice the CPU. Small nodes bootstrap from it, so that only the large
 /// ones list the store.
--- a/crates/sassafrasproxy-core/tests/gossip_faults.rs
+++ b/crates/sassafrasproxy-core/tests/gossip_faults.rs
@@ -49,7 +49,7 @@
     1.0 - listed as f64 / (online.len() * online.len()) as f64
 }
 
-/// Guards against live nodes that get no callers because lost datagrams make them look dead.
+/// Guards against live nodes that get no callers because datagrams are lost and peers suspect them.
 #[test]
 fn lossy_links_remove_no_live_nodes() {
     for size in [8, 200] {
