--- a/crates/sassafrasproxy-core/src/forward/registry/gossip/mod.rs
+++ b/crates/sassafrasproxy-core/src/forward/registry/gossip/mod.rs
@@ -377,7 +377,7 @@
         if !is_own && datagram.latest.revision > self.latest.revision {
             self.update_latest(&datagram.latest);
         }
-        self.probes.record_heard(&sender.node);
+        self.probes.record_received(&sender.node);
     }
 
     fn apply_update(&mut self, now_us: u64, update: &GossipUpdate) {
--- a/crates/sassafrasproxy-core/src/forward/registry/probe_tracker.rs
+++ b/crates/sassafrasproxy-core/src/forward/registry/probe_tracker.rs
@@ -27,7 +27,7 @@
     }
 
     /// Records that a datagram was received from a member, which ends its pending probe.
-    pub fn record_heard(&mut self, node: &str) {
+    pub fn record_received(&mut self, node: &str) {
         self.pending.shift_remove(node);
     }
 
--- a/crates/sassafrasproxy-core/src/forward/registry/store_sync.rs
+++ b/crates/sassafrasproxy-core/src/forward/registry/store_sync.rs
@@ -13,16 +13,14 @@
     pub watch_timeout_ms: u64,
     /// How long after a change the next watch starts, in microseconds.
     ///
-    /// The delay lets changes share a call.
-    ///
-    /// The delay counts towards the three seconds within which a change must be active. It is
-    /// shorter than the interval between two comparisons with peers, so that a node that pauses
-    /// does not look disconnected.
+    /// The delay lets changes share a call. It counts towards the three seconds within which a
+    /// change must be active, and it is shorter than the interval between two comparisons with
+    /// peers, so that a node that pauses does not look disconnected.
     pub coalesce_delay_us: u64,
     /// The longest pause after a first failure, in microseconds.
     ///
     /// Doubles with each further failure in a row, up to `max_backoff_us`.
-    pub min_backoff_us: u64,
+    pub initial_backoff_us: u64,
     /// The maximum pause after a failure, in microseconds.
     ///
     /// Even if all nodes of a fleet retry at this interval, they stay far below the store's rate
@@ -35,7 +33,7 @@
         Self {
             watch_timeout_ms: 4_000,
             coalesce_delay_us: 400_000,
-            min_backoff_us: 100_000,
+            initial_backoff_us: 100_000,
             max_backoff_us: 800_000,
         }
     }
@@ -206,7 +204,7 @@
     ///
     /// Jitter prevents all nodes from retrying at once.
     fn backoff_us(&mut self) -> u64 {
-        let doubled = self.policy.min_backoff_us << self.consecutive_failures.min(8);
+        let doubled = self.policy.initial_backoff_us << self.consecutive_failures.min(8);
         let pause_us = doubled.min(self.policy.max_backoff_us);
         self.rng.random_range(pause_us / 2..=pause_us)
     }
--- a/crates/sassafrasproxy-core/tests/store_sync.rs
+++ b/crates/sassafrasproxy-core/tests/store_sync.rs
@@ -79,7 +79,7 @@
         sync.record_outcome(now_us, StoreCallOutcome::Failed);
         let StoreStep::Pause { until_us } = sync.next_step(now_us) else { panic!("no pause") };
         let pause_us = until_us - now_us;
-        let most_us = (policy.min_backoff_us << failure.min(8)).min(policy.max_backoff_us);
+        let most_us = (policy.initial_backoff_us << failure.min(8)).min(policy.max_backoff_us);
         assert!(pause_us >= most_us / 2 && pause_us <= most_us, "{pause_us} at {failure}");
         now_us = until_us;
     }
