--- a/crates/sassafrasproxy-core/src/forward/callers/admission.rs
+++ b/crates/sassafrasproxy-core/src/forward/callers/admission.rs
@@ -1,38 +1,39 @@
-//! Whether a request that no replica can take at this moment waits or is refused.
+//! Decides whether a request that no replica can take now waits or is refused.
 
-/// The part of the time that an answer may take which a request may wait before it is sent.
+/// The divisor of the time between a request's arrival and its deadline that limits its wait.
 ///
-/// A caller that is refused within this part still has time for a second attempt.
+/// A caller that is refused within this eighth of the time can still make a second attempt.
 const MAX_WAIT_DIVISOR: u64 = 8;
 
-/// What to do with a request.
+/// The decision on a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Admission {
-    /// Replicas can take it now.
+    /// Send the request now: replicas can take it.
     Admit,
-    /// Replicas will be able to take it soon: look again then.
+    /// Decide again later: replicas can probably take the request soon.
     Wait {
-        /// The time.
+        /// The time of the next decision, in microseconds.
         until_us: u64,
     },
-    /// Refuse it, as it would wait too long here.
+    /// Refuse the request: it would wait too long on this node.
     Refuse,
 }
 
-/// What to do with a request that arrived at `arrived_us` and is to be answered until `end_us`.
+/// Decides whether a request that arrived at `arrived_us` and has its deadline at `end_us` is sent,
+/// waits or is refused.
 ///
-/// `soonest_us` says in how long replicas can probably take it, `None` if nothing tells. Answers a
-/// load under which replicas are busy for milliseconds: a refused caller has to connect again and
-/// comes back later than the replicas are free, so the request waits here while it can still be
-/// answered in time.
-pub fn admit(now_us: u64, arrived_us: u64, end_us: u64, soonest_us: Option<u64>) -> Admission {
-    let Some(soonest_us) = soonest_us else { return Admission::Refuse };
-    if soonest_us == 0 {
+/// `usable_in_us` is the time until replicas can probably take the request, 0 if they can now and
+/// `None` if it is unknown. When replicas are busy for a few milliseconds, waiting on this node is
+/// faster than a refusal: a refused caller has to connect again and retries only after the replicas
+/// have become free. So the request waits as long as it can still be answered in time.
+pub fn admit(now_us: u64, arrived_us: u64, end_us: u64, usable_in_us: Option<u64>) -> Admission {
+    let Some(usable_in_us) = usable_in_us else { return Admission::Refuse };
+    if usable_in_us == 0 {
         return Admission::Admit;
     }
-    let longest_us = arrived_us + end_us.saturating_sub(arrived_us) / MAX_WAIT_DIVISOR;
-    let until_us = now_us + soonest_us.max(crate::US_PER_MS);
-    if until_us > longest_us {
+    let max_until_us = arrived_us + end_us.saturating_sub(arrived_us) / MAX_WAIT_DIVISOR;
+    let until_us = now_us + usable_in_us.max(crate::US_PER_MS);
+    if until_us > max_until_us {
         return Admission::Refuse;
     }
     Admission::Wait { until_us }
--- a/crates/sassafrasproxy-core/src/forward/callers/directory.rs
+++ b/crates/sassafrasproxy-core/src/forward/callers/directory.rs
@@ -1,4 +1,4 @@
-//! Which nodes callers are told to use.
+//! Selects the nodes that the directory names to callers.
 
 use ecow::{EcoString, eco_format};
 use indexmap::IndexMap;
@@ -6,62 +6,63 @@
 
 use crate::hash_name;
 
-/// The most addresses in one answer.
+/// The maximum number of addresses in one answer.
 const MAX_ADDRESSES: usize = 64;
 
-/// The least nodes that an answer names before it looks beyond the best failure domains.
+/// The minimum number of nodes for a selection to be used instead of the next wider one.
 ///
-/// One node alone would take a whole failure domain's callers down with it.
+/// If an answer named one node only, its loss would cut off all callers of a failure domain.
 const MIN_NODES: usize = 2;
 
-/// A node as the directory sees it.
+/// A node and the properties by which the directory selects it.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct DirectoryNode {
     /// The address that callers use.
     pub address: EcoString,
-    /// Where it is.
+    /// The failure domain in which the node runs.
     pub failure_domain: EcoString,
-    /// The address where it relays requests to replicas near it; empty where it does not.
+    /// The address where the node relays requests to replicas of its failure domain; empty if it
+    /// relays none.
     pub relay_address: EcoString,
-    /// How much of a core it has, in thousandths.
+    /// The processor time of the node, in thousandths of a core.
     pub cpu_millis: u32,
-    /// Its state.
+    /// The membership state of the node.
     pub state: MemberState,
 }
 
-/// The addresses to tell a caller, each node once.
+/// Returns the addresses that the directory names to a caller, each node once.
 ///
-/// Callers are sent to the larger VMs: the processor time of a query over many shards is longer than
-/// its goal on a small one.
+/// Callers are sent to the larger VMs, because on a small one the processor time of a query over
+/// many shards exceeds its latency goal.
 ///
-/// A merged query takes one request over the caller's path and one for each shard over the
-/// node's. So callers go to nodes in the failure domains that hold replicas, their own first:
-/// `replica_counts` gives the replicas of each. Suspected nodes are named only where no others
-/// are left, leaving and dead ones never.
+/// A gather sends one request between caller and node and one between node and replica for each
+/// shard. So callers are sent to nodes in the failure domains that hold replicas, and to their own
+/// domain first. `replica_counts` is the number of replicas by failure domain. Suspected nodes are
+/// named only if no alive node is left; leaving and dead nodes are never named.
 pub fn directory_addresses(
     nodes: &[DirectoryNode],
     replica_counts: &IndexMap<EcoString, usize>,
     caller_domain: Option<&str>,
 ) -> Vec<EcoString> {
-    let most = replica_counts.values().copied().max().unwrap_or(0);
-    let holds = |node: &&DirectoryNode| {
-        // A failure domain counts as holding replicas with half as many as the fullest.
+    let max_count = replica_counts.values().copied().max().unwrap_or(0);
+    let holds_replicas = |node: &&DirectoryNode| {
+        // A failure domain counts if it holds at least half as many replicas as the largest one.
         let count = replica_counts.get(&node.failure_domain).copied().unwrap_or(0);
-        count > 0 && 2 * count >= most
+        count > 0 && 2 * count >= max_count
     };
-    let is_own = |node: &&DirectoryNode| Some(node.failure_domain.as_str()) == caller_domain;
+    let is_own_domain = |node: &&DirectoryNode| Some(node.failure_domain.as_str()) == caller_domain;
     let alive: Vec<&DirectoryNode> =
         nodes.iter().filter(|node| node.state == MemberState::Alive).collect();
-    let largest = max_cpu_millis(nodes);
-    let is_large = |node: &&DirectoryNode| is_large(node, largest);
+    let largest_millis = max_cpu_millis(nodes);
+    let is_large = |node: &&DirectoryNode| is_large(node, largest_millis);
     let choose = |is_wanted: &dyn Fn(&&DirectoryNode) -> bool| {
         alive.iter().copied().filter(is_wanted).collect::<Vec<&DirectoryNode>>()
     };
     let choices = [
-        choose(&|node| is_large(node) && is_own(node) && holds(node)),
-        choose(&|node| is_large(node) && holds(node)),
+        choose(&|node| is_large(node) && is_own_domain(node) && holds_replicas(node)),
+        choose(&|node| is_large(node) && holds_replicas(node)),
         choose(&is_large),
-        choose(&holds),
+        choose(&holds_replicas),
         choose(&|_| true),
     ];
     let chosen = choices.iter().find(|choice| choice.len() >= MIN_NODES).cloned();
@@ -69,15 +70,16 @@
         let usable = [MemberState::Alive, MemberState::Suspect];
         nodes.iter().filter(|node| usable.contains(&node.state)).collect()
     });
-    let elsewhere = other_domain_node(&chosen, &choices[1..], caller_domain);
-    let chosen = chosen.into_iter().take(MAX_ADDRESSES - 1).chain(elsewhere);
+    let other_domain = other_domain_node(&chosen, &choices[1..], caller_domain);
+    let chosen = chosen.into_iter().take(MAX_ADDRESSES - 1).chain(other_domain);
     chosen.map(|node| node.address.clone()).collect()
 }
 
-/// A node of another failure domain, if all that are named are of one.
+/// Returns a node of another failure domain if all chosen nodes are in one domain.
 ///
-/// Callers keep an answer for seconds. If the domain is lost meanwhile, all that they know hang, and
-/// they are served again only once they have asked again.
+/// Callers keep an answer for seconds. If the domain is lost in that time, requests to all named
+/// nodes hang, and without a node elsewhere callers are not served until they ask the directory
+/// again.
 fn other_domain_node<'a>(
     chosen: &[&'a DirectoryNode],
     choices: &[Vec<&'a DirectoryNode>],
@@ -87,7 +89,8 @@
     if chosen.iter().any(|node| node.failure_domain != *domain) {
         return None;
     }
-    // Each failure domain's callers have another node, so that none serves all in need.
+    // A rendezvous hash gives callers of each failure domain a different node, so that no single
+    // node serves them all.
     let score = |node: &&DirectoryNode| {
         hash_name(&eco_format!("{} {}", caller_domain.unwrap_or_default(), node.address))
     };
@@ -97,18 +100,19 @@
     })
 }
 
-/// How many nodes callers are sent to while nothing is wrong: the larger ones.
+/// Counts the larger nodes, which are the ones that callers are normally sent to.
 pub fn count_large_nodes(nodes: &[DirectoryNode]) -> usize {
-    let largest = max_cpu_millis(nodes);
-    nodes.iter().filter(|node| is_large(node, largest)).count()
+    let largest_millis = max_cpu_millis(nodes);
+    nodes.iter().filter(|node| is_large(node, largest_millis)).count()
 }
 
-/// Whether a node is one of the larger ones; half of the largest still counts.
+/// Returns whether a node has at least half of the processor time of the largest node.
 fn is_large(node: &DirectoryNode, largest_millis: u32) -> bool {
     is_large_cpu(node.cpu_millis, largest_millis)
 }
 
-/// Whether so much of a core is much beside the most that any node has, both in thousandths.
+/// Returns whether `cpu_millis` is at least half of the largest node's processor time, both in
+/// thousandths of a core.
 pub fn is_large_cpu(cpu_millis: u32, largest_millis: u32) -> bool {
     2 * cpu_millis >= largest_millis
 }
--- a/crates/sassafrasproxy-core/src/forward/callers/mod.rs
+++ b/crates/sassafrasproxy-core/src/forward/callers/mod.rs
@@ -1,8 +1,9 @@
-//! Whom to serve: where callers connect, how much of their time is gone, and who is refused.
+//! Decisions about callers: which nodes they use, how much of their timeout has elapsed, and which
+//! requests are refused.
 //!
-//! Callers ask the directory which nodes to use. A request's deadline tells how long ago its
-//! caller started. Requests that crash replicas are refused; whoever is refused hears when to come
-//! back.
+//! Callers ask the directory which nodes to use. The deadline of a request shows how long ago its
+//! caller's timeout started. Requests that crash replicas are quarantined. A caller whose request
+//! is refused receives a retry delay.
 
 mod admission;
 mod caller_delays;
--- a/crates/sassafrasproxy-core/src/forward/mod.rs
+++ b/crates/sassafrasproxy-core/src/forward/mod.rs
@@ -1,11 +1,11 @@
-//! Decisions about opaque HTTP requests that routes send to services, without homes.
+//! Decisions about opaque HTTP requests that routes forward to services, without homes.
 //!
-//! With few nodes, every node sends to every replica itself; what all nodes must keep together
-//! (connections, extra sends) is split by their number.
+//! With few nodes, every node sends to every replica itself. Limits that hold for all nodes
+//! together (connections, extra sends) are divided by the number of nodes.
 //!
-//! A request meets the groups in this order: `callers` (is it served, and how long may it take),
-//! `placement` (which route, service and replica), `sending` (send, hedge, retry, answer), and
-//! `callers` again if it is refused. `registry` keeps what all of them know up to date.
+//! A request passes the modules in this order: `callers` (whether it is served, and its deadline),
+//! `routing` (its route, service and replica), `sending` (send, hedge, retry, answer), and
+//! `callers` again if it is refused. `registry` keeps the data that the others use up to date.
 //! `rollout` moves a service to a new version of its replicas.
 
 mod callers;
