--- a/crates/sassafrasproxy-core/src/forward/routing/mod.rs
+++ b/crates/sassafrasproxy-core/src/forward/routing/mod.rs
@@ -1,8 +1,9 @@
-//! Where to send: the route, its service, and which replica of it.
+//! Selects the route of a request, its service, and a replica of the service.
 //!
-//! A request's path picks a route and, of a split, a service. A query over shards leaves out those
-//! that others need more (`plan_asks`). `UpstreamPool` then names the replica that will probably
-//! answer first, by what this node has seen of each: distance, load, slowness, pauses and errors.
+//! Host and path determine the route, and a route with weighted services selects one of them in
+//! turn. A query over shards excludes shards that other queries need more (`select_shards`).
+//! `UpstreamPool` then picks the replica that will probably answer first, by what this node has
+//! observed of each: failure domain, load, slowness, pauses and errors.
 
 mod decaying_mean;
 mod part_distribution;
--- a/crates/sassafrasproxy-core/src/forward/routing/part_distribution.rs
+++ b/crates/sassafrasproxy-core/src/forward/routing/part_distribution.rs
@@ -1,15 +1,19 @@
-//! How the parts of one query are shared out among the nodes of a failure domain.
+//! Distributes the sub-requests of one query among the nodes of a failure domain.
 
-/// How many parts of a query a whole core sends one after the other while others could help it.
+/// The maximum number of sub-requests that one core sends one after the other while other nodes can
+/// take some of them.
 const MAX_PARTS_PER_CORE: usize = 128;
 
-/// How many parts each of some nodes sends, which have so much of a core each; the first is the one
-/// that sends in any case.
+/// Returns how many parts of a query each participating node requests.
 ///
-/// Answers queries over so many shards that sending to them takes a node longer than a replica
-/// takes to answer. Few parts stay together, as each further node costs a message and a merge.
+/// Up to `nodes` nodes with `cpu_millis` thousandths of a core each take part; the first entry is for
+/// the node that takes part in any case.
+///
+/// A query over very many shards needs this: one node would take longer to send all sub-requests
+/// than a replica takes to answer. Few parts stay on one node, because each further node costs a
+/// message and a merge.
 pub fn distribute_parts(parts: usize, nodes: usize, cpu_millis: u32) -> Vec<usize> {
-    let most = (MAX_PARTS_PER_CORE * cpu_millis as usize / 1_000).max(1);
-    let count = parts.div_ceil(most).clamp(1, nodes.max(1));
-    (0..count).map(|nth| (parts + nth) / count).rev().collect()
+    let max_parts = (MAX_PARTS_PER_CORE * cpu_millis as usize / 1_000).max(1);
+    let node_count = parts.div_ceil(max_parts).clamp(1, nodes.max(1));
+    (0..node_count).map(|index| (parts + index) / node_count).rev().collect()
 }
--- a/crates/sassafrasproxy-core/src/forward/routing/pause_estimator.rs
+++ b/crates/sassafrasproxy-core/src/forward/routing/pause_estimator.rs
@@ -1,53 +1,55 @@
-//! How long replicas stand still, and what is left of a pause that has begun.
+//! Estimates how long replicas pause, and the remaining time of a pause that has begun.
 
 use crate::LatencyWindow;
 
-/// The length of a pause before enough were seen, in microseconds.
+/// The assumed length of a pause before enough pauses were observed, in microseconds.
 const DEFAULT_PAUSE_US: u64 = 100_000;
 
-/// How late an answer must be to tell of a pause, in microseconds: below, it is a long run.
+/// The lateness from which an answer counts as delayed by a pause, in microseconds; a smaller
+/// lateness counts as a long run.
 const MIN_LATENESS_US: u64 = 10_000;
 
-/// How many usual pauses the longest one lasts; what takes longer is none.
+/// The length of the longest pause, in typical pauses; a longer stall does not count as a pause.
 const MAX_PAUSE_FACTOR: u64 = 2;
 
-/// How long replicas stood still lately, over all of them.
+/// Estimates the length of recent pauses over all replicas.
 ///
-/// Replicas stand still now and then and go on. One that has died without closing its connections
-/// looks the same at first; the longer it lasts, the less likely is it a pause.
+/// Replicas pause occasionally and then continue. A replica that has crashed without closing its
+/// connections looks the same at first; the longer a stall lasts, the less likely it is a pause.
 #[derive(Debug, Default)]
 pub struct PauseEstimator {
     lateness: LatencyWindow,
 }
 
 impl PauseEstimator {
-    /// Notes that an answer came `late_us` after its usual time.
+    /// Records that an answer arrived `late_us` after its usual time.
     pub fn record_lateness(&mut self, late_us: u64) {
         if late_us >= MIN_LATENESS_US {
             self.lateness.record(late_us);
         }
     }
 
-    /// What is probably left until a replica answers that has been still for a time, in
-    /// microseconds: half of a pause, or as long again as it has lasted.
-    pub fn remaining_us(&self, still_us: u64) -> u64 {
-        (self.typical_pause_us() / 2).max(still_us)
+    /// Returns the probable time until a stalled replica answers, in microseconds: half of a
+    /// typical pause, or as long again as the stall has lasted.
+    pub fn remaining_us(&self, stalled_us: u64) -> u64 {
+        (self.typical_pause_us() / 2).max(stalled_us)
     }
 
-    /// Whether a replica has been still for longer than pauses last.
+    /// Returns whether a replica has been stalled for longer than pauses last.
     ///
-    /// Guards against queries that wait for a replica that is dark: each waited until its end, long
-    /// after its caller's goal, before the replica counted as lost.
-    pub fn exceeds_pause(&self, still_us: u64) -> bool {
-        still_us > self.max_pause_us()
+    /// Prevents queries from waiting for a replica that no longer answers. Otherwise each of them
+    /// waits until its deadline, long after its latency goal, before the replica counts as lost.
+    pub fn exceeds_pause(&self, stalled_us: u64) -> bool {
+        stalled_us > self.max_pause_us()
     }
 
-    /// Within which time a pause is over, in microseconds.
+    /// Returns the time within which a pause ends, in microseconds.
     pub fn max_pause_us(&self) -> u64 {
         MAX_PAUSE_FACTOR * self.typical_pause_us()
     }
 
-    /// The usual length: requests meet a pause halfway, and their answers are late by the rest.
+    /// Returns the typical length of a pause, in microseconds: twice the median lateness, because
+    /// requests arrive halfway through a pause on average and their answers are late by the rest.
     fn typical_pause_us(&self) -> u64 {
         self.lateness.quantile_us(0.5).map_or(DEFAULT_PAUSE_US, |late_us| 2 * late_us)
     }
--- a/crates/sassafrasproxy-core/src/forward/routing/pool/mod.rs
+++ b/crates/sassafrasproxy-core/src/forward/routing/pool/mod.rs
@@ -1,4 +1,4 @@
-//! Choosing among the replicas of a service by what this node has seen of each.
+//! Picks a replica of a service by what this node has observed of each.
 
 mod replica;
 
@@ -13,49 +13,50 @@
 use super::slot_budget::SlowForecast;
 use crate::{Catalogue, RouteClass, Trial, TrialReport};
 
-/// Which send: grows with each, never used again.
+/// The id of a send; grows with each send and is never reused.
 pub type SendId = u64;
 
-/// What the pool knows from the node's settings.
+/// The settings of the pool.
 #[derive(Debug, Clone, PartialEq)]
 pub struct PoolSettings {
-    /// Where this node is.
+    /// The failure domain of this node.
     pub failure_domain: EcoString,
-    /// A cold replica's declared rate is exceeded by this factor at most, over all nodes.
+    /// The factor by which all nodes together may exceed the declared request rate of a cold
+    /// replica.
     pub warmup_factor: f64,
-    /// And by this many requests a second besides.
+    /// The number of requests per second that is allowed in addition to the scaled rate.
     pub warmup_slack: f64,
 }
 
 /// How a send ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum SendOutcome {
-    /// The replica answered for itself.
+    /// The replica answered successfully.
     Answered,
     /// The replica answered with a failure.
     Faulty,
-    /// The replica says that it did not run the request.
+    /// The replica reported that it did not run the request.
     Refused,
-    /// The connection broke off, or what came was no usable answer.
+    /// The connection broke, or the answer was not usable.
     Lost,
-    /// Nothing came for as long as the send could wait.
+    /// No answer arrived before the send's deadline.
     TimedOut,
-    /// No connection could be made.
+    /// No connection could be established.
     Unreachable,
-    /// Another replica has the address.
+    /// Another replica now listens on the address.
     Misdirected,
-    /// This node gave up; says nothing of the replica.
+    /// This node cancelled the send; the replica is not judged by it.
     Cancelled,
 }
 
-/// What asking a service now would probably meet.
+/// The state of the replica that a service's next request would be sent to.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct ServiceForecast {
-    /// If the replica that would be asked has been slow for a while, what it bears.
+    /// What this node may send to the replica, if it has been slow for longer than a pause.
     pub slow: Option<SlowForecast>,
 }
 
-/// All replicas that this node may send to.
+/// The replicas that this node may send to, and what it has observed of each.
 #[derive(Debug)]
 pub struct UpstreamPool {
     settings: PoolSettings,
@@ -63,12 +64,12 @@
     replicas: IndexMap<EcoString, ReplicaState>,
     next_send: SendId,
     pause_estimator: PauseEstimator,
-    /// By service, this node's part in the trial of a version.
+    /// This node's part in the trial of a version, by service.
     trials: IndexMap<EcoString, Trial>,
 }
 
 impl UpstreamPool {
-    /// A pool without replicas.
+    /// Creates a pool without replicas.
     pub fn new(settings: PoolSettings) -> Self {
         Self {
             settings,
@@ -80,28 +81,28 @@
         }
     }
 
-    /// Takes changed settings in; they count from the next catalogue on.
+    /// Replaces the settings; they take effect with the next catalogue.
     pub fn set_settings(&mut self, settings: PoolSettings) {
         self.settings = settings;
     }
 
-    /// Takes a new catalogue in, and how many nodes share the replicas.
+    /// Replaces the catalogue; `nodes` is the number of nodes that share the replicas.
     pub fn update(&mut self, now_us: u64, catalogue: &Catalogue, nodes: usize) {
         self.replicas.retain(|id, _| catalogue.replicas.contains_key(id));
         for (id, listed) in &catalogue.replicas {
             let service = catalogue.services.get(&listed.entry.service);
             let known = self.replicas.get(id);
-            let is_same_life = known.is_some_and(|known| {
+            let is_same_incarnation = known.is_some_and(|known| {
                 known.entry.born_ms == listed.entry.born_ms
                     && known.entry.address == listed.entry.address
             });
-            if !is_same_life {
+            if !is_same_incarnation {
                 let state = ReplicaState::new(listed.entry.clone(), &self.settings);
                 self.replicas.insert(id.clone(), state);
             }
             let state = &mut self.replicas[id];
             state.entry = listed.entry.clone();
-            state.is_open = listed.is_eligible;
+            state.is_eligible = listed.is_eligible;
             state.is_on_trial = listed.is_on_trial;
             state.update_limits(service, nodes.max(1), &self.settings);
             let cold_us = listed.entry.cold_for_ms * crate::US_PER_MS;
@@ -115,56 +116,58 @@
         }
     }
 
-    /// What this node has counted in trials of versions.
+    /// Returns this node's reports on the trials of versions.
     pub fn trial_reports(&self) -> Vec<TrialReport> {
         self.trials.values().map(Trial::report).collect()
     }
 
-    /// Takes a new catalogue in whose replicas each take a number of sends from this node.
+    /// Replaces the catalogue and sets the concurrency limit of each replica to `max_in_flight`.
     pub fn update_with_in_flight_limit(
         &mut self,
         now_us: u64,
         catalogue: &Catalogue,
-        in_flight: usize,
+        max_in_flight: usize,
     ) {
         self.update(now_us, catalogue, 1);
-        self.replicas.values_mut().for_each(|state| state.max_in_flight = in_flight);
+        self.replicas.values_mut().for_each(|state| state.max_in_flight = max_in_flight);
     }
 
-    /// The entry of a replica.
+    /// Returns the registry entry of a replica.
     pub fn entry(&self, id: &str) -> Option<&Arc<ReplicaEntry>> {
         self.replicas.get(id).map(|state| &state.entry)
     }
 
-    /// How many idle connections this node may keep to a replica; a node to which callers are sent
-    /// (`is_sender`) as many as it may use, the others an equal share of what `nodes` nodes may.
+    /// Returns the maximum number of idle connections that this node may keep to a replica.
     ///
-    /// Guards against replicas that are full of connections nobody uses: a fleet that keeps one
-    /// each may be over the cap, and the replica resets new ones. What may run once only is lost
-    /// then, as it is not sent again.
+    /// An ingress node may keep as many as it may use, another node an equal share of the replica's
+    /// connection limit among `nodes` nodes. This prevents replicas from being full of unused
+    /// connections: if each node of a large deployment kept one, they could exceed the limit, and
+    /// the replica would reset new connections. A request that is not idempotent is then lost, as
+    /// it is not retried.
     pub fn max_idle_connections(&self, id: &str, nodes: usize, is_ingress: bool) -> usize {
         let Some(state) = self.replicas.get(id) else { return 0 };
         if is_ingress { state.max_in_flight } else { state.max_connections / nodes.max(1) }
     }
 
-    /// In how long a replica of a service may get work, in microseconds; `None` if none is there.
+    /// Returns the time until a replica of a service may receive a request, in microseconds, or
+    /// `None` if no replica of the version in use is eligible.
     pub fn usable_in_us(&self, service: &str, now_us: u64) -> Option<u64> {
         let ids = self.services.get(service)?;
-        let open = ids.iter().map(|id| &self.replicas[id]).filter(|state| state.is_in_use());
-        open.map(|state| state.usable_in_us(now_us, &self.pause_estimator)).min()
+        let eligible = ids.iter().map(|id| &self.replicas[id]).filter(|state| state.is_in_use());
+        eligible.map(|state| state.usable_in_us(now_us, &self.pause_estimator)).min()
     }
 
-    /// Whether a service has any replica, usable or not.
+    /// Returns whether a service has any replica, usable or not.
     pub fn has_replicas(&self, service: &str) -> bool {
         self.services.contains_key(service)
     }
 
-    /// How many replicas a service has.
+    /// Returns the number of replicas of a service.
     pub fn replica_count(&self, service: &str) -> usize {
         self.services.get(service).map_or(0, Vec::len)
     }
 
-    /// How many replicas of the services each failure domain holds.
+    /// Counts the eligible replicas of the services by failure domain.
     pub fn replicas_by_domain<'a>(
         &self,
         services: impl IntoIterator<Item = &'a EcoString>,
@@ -173,17 +176,19 @@
         let ids = services.into_iter().filter_map(|service| self.services.get(service)).flatten();
         for id in ids {
             let state = &self.replicas[id];
-            if state.is_open {
+            if state.is_eligible {
                 *counts.entry(state.entry.failure_domain.clone()).or_default() += 1;
             }
         }
         counts
     }
 
-    /// The replica of a service that will probably answer first, all costs counted.
+    /// Returns the replica of a service with the lowest cost: the expected time to its answer and
+    /// penalties for distance, stalls and errors.
     ///
-    /// `expected_us` is the usual time of such a request. Replicas in `tried` are left out, and
-    /// so are those that are known to fail at this moment.
+    /// `expected_us` is the usual time of such a request. Replicas in `tried` are excluded, and so
+    /// are those that cannot take a request now. A replica on trial is returned instead if this
+    /// request may go to one.
     pub fn pick(
         &self,
         service: &str,
@@ -198,12 +203,13 @@
         let mut best: Option<(f64, &EcoString)> = None;
         for id in ids {
             let state = &self.replicas[id];
-            let is_left_out = tried.contains(id) || state.is_on_trial;
-            if is_left_out || !state.can_take_request(now_us, &self.pause_estimator) {
+            let is_excluded = tried.contains(id) || state.is_on_trial;
+            if is_excluded || !state.can_take_request(now_us, &self.pause_estimator) {
                 continue;
             }
             let cost = state.cost_us(now_us, expected_us, &self.pause_estimator);
-            // Equal replicas take turns, as nodes far from all of them must not all pick one.
+            // Replicas with equal costs take turns; otherwise all nodes in other failure domains
+            // would pick the same one.
             let is_better = best.is_none_or(|(least, _)| {
                 cost < least || (cost == least && self.next_send.is_multiple_of(2))
             });
@@ -214,9 +220,10 @@
         best.map(|(_, id)| id.clone())
     }
 
-    /// The replica on trial that is next, if this request may go to one.
+    /// Returns the next replica on trial, if this request may go to one.
     ///
-    /// First sends only: what such a replica fails at is served by the version in use.
+    /// Only first sends go to a replica on trial: if it fails, the version in use serves the
+    /// request.
     fn pick_on_trial(
         &self,
         service: &str,
@@ -232,15 +239,15 @@
             let state = &self.replicas[*id];
             state.is_on_trial && state.can_take_request(now_us, &self.pause_estimator)
         };
-        // By turns: a replica that fails by itself must not stand for its version. All canaries come
-        // to the same one at about the same time, so that it shows how it fares under load.
+        // Round robin, so that one faulty replica does not decide the verdict on its version. All
+        // canaries reach the same replica at about the same time, which shows how it handles load.
         let mut next: Vec<&EcoString> = ids.iter().filter(is_next).collect();
         next.sort_unstable();
         let turn = trial.trial_sends() as usize % next.len().max(1);
         next.get(turn).map(|id| (*id).clone())
     }
 
-    /// What the replica that would be picked is like; `None` if none can be asked.
+    /// Returns the state of the replica that would be picked, or `None` if none can be asked.
     pub fn forecast(
         &self,
         service: &str,
@@ -260,27 +267,29 @@
         })
     }
 
-    /// Notes that a query needs a service's slow replicas.
+    /// Records that a query needs the slow replicas of a service.
     pub fn reserve_replicas(&mut self, service: &str, now_us: u64) {
         for id in self.services.get(service).into_iter().flatten() {
             self.replicas[id].slot_budget.reserve(now_us);
         }
     }
 
-    /// Notes a send to a replica, which is beyond its usual time `patience_us` from now.
+    /// Records a send to a replica, which counts as stalled `stall_after_us` from now.
+    ///
+    /// Returns `None` if the replica is not known.
     pub fn start_send(
         &mut self,
         id: &str,
         now_us: u64,
         expected_us: u64,
-        patience_us: u64,
+        stall_after_us: u64,
     ) -> Option<SendId> {
         let state = self.replicas.get_mut(id)?;
         let send = self.next_send;
         self.next_send += 1;
         state.take_cold_token(now_us);
         state.slot_budget.record_send(now_us, expected_us);
-        let due_us = now_us + patience_us;
+        let due_us = now_us + stall_after_us;
         state.in_flight.push(InFlightSend {
             id: send,
             sent_us: now_us,
@@ -291,7 +300,7 @@
         Some(send)
     }
 
-    /// Counts a send that was started in the trial of a version, if there is one.
+    /// Counts a started send in the trial of its service, if there is one.
     pub fn count_in_trial(
         &mut self,
         id: &EcoString,
@@ -307,56 +316,56 @@
         if state.is_on_trial {
             trial.record_send();
         }
-        if let Some(sent) = state.in_flight.iter_mut().find(|one| one.id == send) {
-            sent.trial_class = Some(class);
+        if let Some(in_flight_send) = state.in_flight.iter_mut().find(|one| one.id == send) {
+            in_flight_send.trial_class = Some(class);
         }
     }
 
-    /// Notes that a part of an answer came from a replica.
+    /// Records that a part of an answer arrived from a replica.
     pub fn record_activity(&mut self, id: &str, now_us: u64) {
         if let Some(state) = self.replicas.get_mut(id) {
             state.last_activity_us = now_us;
         }
     }
 
-    /// Notes the end of a send; `reported` is the replica's own word on its load.
+    /// Records the end of a send; `reported_load` is the load that the replica reported.
     pub fn finish_send(
         &mut self,
         id: &str,
         send: SendId,
         now_us: u64,
         outcome: SendOutcome,
-        reported: Option<u32>,
+        reported_load: Option<u32>,
     ) {
         let Some(state) = self.replicas.get_mut(id) else { return };
         let Some(at) = state.in_flight.iter().position(|one| one.id == send) else { return };
-        let sent = state.in_flight.swap_remove(at);
+        let in_flight_send = state.in_flight.swap_remove(at);
         if outcome == SendOutcome::Answered {
-            self.pause_estimator.record_lateness(now_us.saturating_sub(sent.due_us));
+            self.pause_estimator.record_lateness(now_us.saturating_sub(in_flight_send.due_us));
         }
-        if let Some(reported) = reported {
-            state.reported_load = reported;
+        if let Some(reported_load) = reported_load {
+            state.reported_load = reported_load;
             state.load_reported_us = now_us;
         }
-        state.record_end(now_us, &sent, outcome);
-        if let Some(class) = sent.trial_class
+        state.record_end(now_us, &in_flight_send, outcome);
+        if let Some(class) = in_flight_send.trial_class
             && let Some(trial) = self.trials.get_mut(&state.entry.service)
         {
-            let ended = state.trial_outcome(now_us, &sent, outcome);
-            trial.record_end(&state.entry, class, sent.expected_us, ended);
+            let trial_outcome = state.trial_outcome(now_us, &in_flight_send, outcome);
+            trial.record_end(&state.entry, class, in_flight_send.expected_us, trial_outcome);
         }
     }
 
-    /// Keeps the trials that go on, and begins new ones.
+    /// Removes the trials that have ended and starts new ones.
     fn update_trials(&mut self, now_us: u64, catalogue: &Catalogue) {
-        let is_same = |service: &EcoString, trial: &Trial| {
+        let is_current = |service: &EcoString, trial: &Trial| {
             let granted = catalogue.trial_grants.get(service);
             granted.is_some_and(|grant| grant.order_revision == trial.grant().order_revision)
         };
-        self.trials.retain(|service, trial| is_same(service, trial));
+        self.trials.retain(|service, trial| is_current(service, trial));
         for (service, grant) in &catalogue.trial_grants {
-            let begun = self.trials.entry(service.clone());
-            begun.or_insert_with(|| Trial::new(grant.clone(), now_us));
+            let entry = self.trials.entry(service.clone());
+            entry.or_insert_with(|| Trial::new(grant.clone(), now_us));
         }
     }
 }
--- a/crates/sassafrasproxy-core/src/forward/routing/pool/replica.rs
+++ b/crates/sassafrasproxy-core/src/forward/routing/pool/replica.rs
@@ -1,4 +1,4 @@
-//! What one replica's sends have shown, and what the next one would cost.
+//! Tracks the sends to one replica and computes the cost of the next one.
 
 use std::sync::Arc;
 
@@ -10,83 +10,86 @@
 use super::{PoolSettings, SendId, SendOutcome};
 use crate::{RouteClass, TrialOutcome};
 
-/// What a send to another failure domain costs beside its time, which slowness holds, in usual
-/// times: a replica nearby is left only for one that is clearly quicker.
-const FAR_COST_FACTOR: f64 = 1.5;
+/// The cost of a send to another failure domain in addition to its time, which the slowness covers,
+/// in multiples of the usual time. A replica in this node's failure domain is passed over only for
+/// one that is clearly faster.
+const CROSS_DOMAIN_COST_FACTOR: f64 = 1.5;
 
-/// What a replica costs that failed all its last requests, in usual times: another send, later, and
-/// a part of the budget for extra sends.
+/// The cost of a replica that failed all its recent requests, in multiples of the usual time. A
+/// failure costs a later second send and a part of the budget for extra sends.
 const ERROR_COST_FACTOR: f64 = 4.0;
 
-/// How much one answer counts in a replica's slowness.
+/// The weight of one answer in a replica's slowness.
 const SLOWNESS_WEIGHT: f64 = 0.25;
 
-/// The most that one answer counts as slower than expected, so that one straggler, which every
-/// replica has now and then, does not send all work to the sibling.
+/// The maximum slowness that one answer counts as. Every replica has an occasional straggler, and
+/// one must not move all requests to the other replica.
 const MAX_SLOWNESS_SAMPLE: f64 = 8.0;
 
-/// How much one answer counts in a replica's rate of errors.
+/// The weight of one answer in a replica's error rate.
 const ERROR_WEIGHT: f64 = 0.3;
 
-/// How long a replica's word on its load counts, in times that a request runs there.
+/// The time for which a replica's reported load counts, in multiples of a request's run time there.
 const LOAD_FRESHNESS_FACTOR: f64 = 4.0;
 
-/// The pause after a replica could not be reached or did not answer, in microseconds; doubles
-/// with each failure in a row.
+/// The backoff after a replica could not be reached or did not answer, in microseconds; doubles
+/// with each consecutive failure.
 const MIN_BACKOFF_US: u64 = 100_000;
 
-/// The longest such pause, in microseconds: a replica that is back gets work within this time.
+/// The maximum backoff, in microseconds; a replica that has recovered receives requests again
+/// within this time.
 const MAX_BACKOFF_US: u64 = 1_600_000;
 
-/// What this node has seen of one replica.
+/// What this node has observed of one replica.
 #[derive(Debug)]
 pub struct ReplicaState {
     pub entry: Arc<ReplicaEntry>,
-    pub is_open: bool,
-    /// Whether only first sends that the trial of its version allows may go there.
+    pub is_eligible: bool,
+    /// Whether the replica receives only the first sends that the trial of its version permits.
     pub is_on_trial: bool,
-    pub is_near: bool,
-    /// How many connections the replica takes from all nodes together.
+    pub is_same_domain: bool,
+    /// The maximum number of connections that the replica accepts from all nodes together.
     pub max_connections: usize,
-    /// How many sends of this node may be under way; at least 1.
+    /// The maximum number of this node's sends in flight; at least 1.
     pub max_in_flight: usize,
     pub in_flight: Vec<InFlightSend>,
     pub slowness: DecayingMean,
     pub error_rate: DecayingMean,
-    /// Failures in a row.
+    /// Consecutive sends that timed out or did not reach the replica.
     pub consecutive_failures: u32,
     pub backoff_until_us: u64,
-    /// When anything last came from the replica.
+    /// When anything last arrived from the replica.
     pub last_activity_us: u64,
-    /// Requests that the replica ran or queued by its own word.
+    /// The number of running and queued requests that the replica last reported.
     pub reported_load: u32,
     pub load_reported_us: u64,
     pub cold_until_us: u64,
-    /// The requests a second that this node may send while the replica is cold.
+    /// The rate at which this node earns tokens for sends while the replica is cold; `None` if
+    /// there is no rate limit.
     pub cold_rate_per_s: Option<f64>,
     pub cold_tokens: f64,
     pub cold_tokens_updated_us: u64,
     pub slot_budget: SlotBudget,
 }
 
-/// A send under way.
+/// A send in flight.
 #[derive(Debug)]
 pub struct InFlightSend {
     pub id: SendId,
     pub sent_us: u64,
     pub expected_us: u64,
-    /// When the send is beyond its usual time.
+    /// When the send counts as stalled.
     pub due_us: u64,
-    /// Set where the send counts in the trial of a version.
+    /// The class of the send's route, if the send counts in the trial of a version.
     pub trial_class: Option<RouteClass>,
 }
 
 impl ReplicaState {
     pub fn new(entry: Arc<ReplicaEntry>, settings: &PoolSettings) -> Self {
         Self {
-            is_near: entry.failure_domain == settings.failure_domain,
+            is_same_domain: entry.failure_domain == settings.failure_domain,
             entry,
-            is_open: true,
+            is_eligible: true,
             is_on_trial: false,
             max_connections: 1,
             max_in_flight: 1,
@@ -106,7 +109,7 @@
         }
     }
 
-    /// Divides what all nodes together may use of the replica.
+    /// Sets this node's share of the limits that hold for all nodes together.
     pub fn update_limits(
         &mut self,
         service: Option<&RoutedService>,
@@ -119,36 +122,38 @@
         self.slot_budget.set_slots(f64::from(self.entry.slots) / nodes as f64);
         let rate = service.and_then(|service| service.warmup_per_s);
         let bound = |rate: f64| rate * settings.warmup_factor + settings.warmup_slack;
-        // One saved send and what is earned in a second make a node's share of a second.
+        // In one second, a node can use one saved token and what it earns: together its share.
         let share = rate.map(|rate| bound(rate) / nodes as f64);
         self.cold_rate_per_s = share.map(|share| (share - 1.0).max(share / 2.0));
     }
 
-    /// Whether the replica's version is the one in use, and the replica may get work.
+    /// Returns whether the replica is eligible and its version is the one in use.
     pub fn is_in_use(&self) -> bool {
-        self.is_open && !self.is_on_trial
+        self.is_eligible && !self.is_on_trial
     }
 
-    /// Whether the replica can take a request now.
+    /// Returns whether the replica can take a request now.
     pub fn can_take_request(&self, now_us: u64, pauses: &PauseEstimator) -> bool {
-        self.is_open && self.usable_in_us(now_us, pauses) == 0 && self.has_cold_token(now_us)
+        self.is_eligible && self.usable_in_us(now_us, pauses) == 0 && self.has_cold_token(now_us)
     }
 
-    /// In how long an open replica may get work, in microseconds.
+    /// Returns the time until an eligible replica may receive a request, in microseconds; the token
+    /// for a cold replica is checked separately.
     pub fn usable_in_us(&self, now_us: u64, pauses: &PauseEstimator) -> u64 {
-        let is_silent =
-            self.stalled_us(now_us).is_some_and(|still_us| pauses.exceeds_pause(still_us));
-        let silent_us = if is_silent { MIN_BACKOFF_US } else { 0 };
-        let avoid_us = self.backoff_until_us.saturating_sub(now_us).max(silent_us);
+        let is_past_pause =
+            self.stalled_us(now_us).is_some_and(|stalled_us| pauses.exceeds_pause(stalled_us));
+        let stall_backoff_us = if is_past_pause { MIN_BACKOFF_US } else { 0 };
+        let backoff_us = self.backoff_until_us.saturating_sub(now_us).max(stall_backoff_us);
         if self.in_flight.len() < self.max_in_flight {
-            return avoid_us;
+            return backoff_us;
         }
-        // One of its sends ends at about its usual time.
-        let first = self.in_flight.iter().map(|one| one.sent_us + one.expected_us).min();
-        first.map_or(1, |end_us| end_us.saturating_sub(now_us).max(1)).max(avoid_us)
+        // The first send to finish is expected to end at its usual time.
+        let first = self.in_flight.iter().map(|send| send.sent_us + send.expected_us).min();
+        first.map_or(1, |end_us| end_us.saturating_sub(now_us).max(1)).max(backoff_us)
     }
 
-    /// Whether the replica, if it is cold, bears one more request from this node now.
+    /// Returns whether this node may send one more request now as far as the replica's cold start
+    /// is concerned.
     pub fn has_cold_token(&self, now_us: u64) -> bool {
         self.cold_until_us <= now_us
             || self.cold_rate_per_s.is_none()
@@ -168,43 +173,48 @@
         }
     }
 
-    /// How long a request would run and wait for a slot, in microseconds.
+    /// Returns the expected run time of a request and its wait for a slot, in microseconds.
     pub fn run_and_queue_us(&self, now_us: u64, expected_us: u64) -> (f64, f64) {
         let expected = expected_us as f64;
-        // A slow replica's queue is slow as well, and its word on it is as old as its answers.
+        // The queue of a slow replica is slow as well, and the load that it reports is as old as
+        // its answers.
         let run_us = expected * self.slowness.value(now_us);
-        let is_fresh = now_us < self.load_reported_us + (LOAD_FRESHNESS_FACTOR * run_us) as u64;
-        let reported = if is_fresh { self.reported_load as usize } else { 0 };
-        let ahead = self.in_flight.len().max(reported);
+        let is_load_fresh =
+            now_us < self.load_reported_us + (LOAD_FRESHNESS_FACTOR * run_us) as u64;
+        let reported_load = if is_load_fresh { self.reported_load as usize } else { 0 };
+        let ahead = self.in_flight.len().max(reported_load);
         let slots = self.entry.slots as usize;
         let queue_us = (ahead + 1).saturating_sub(slots) as f64 * run_us / slots as f64;
         (run_us, queue_us)
     }
 
-    /// The time until an answer that is to be expected, and all else that a send here costs.
+    /// Returns the expected time until an answer plus the other costs of a send to this replica, in
+    /// microseconds.
     pub fn cost_us(&self, now_us: u64, expected_us: u64, pauses: &PauseEstimator) -> f64 {
         let (run_us, queue_us) = self.run_and_queue_us(now_us, expected_us);
-        let far = if self.is_near { 0.0 } else { FAR_COST_FACTOR * expected_us as f64 };
-        let stall =
-            self.stalled_us(now_us).map_or(0, |still_us| pauses.remaining_us(still_us)) as f64;
+        let distance =
+            if self.is_same_domain { 0.0 } else { CROSS_DOMAIN_COST_FACTOR * expected_us as f64 };
+        let stall_remaining =
+            self.stalled_us(now_us).map_or(0, |stalled_us| pauses.remaining_us(stalled_us)) as f64;
         let errors = self.error_rate.value(now_us) * ERROR_COST_FACTOR * expected_us as f64;
-        run_us + queue_us + far + stall + errors
+        run_us + queue_us + distance + stall_remaining + errors
     }
 
-    /// For how long a send has been beyond its usual time and nothing else came from the replica
-    /// either; `None` while no send is.
+    /// Returns for how long a send has been overdue while nothing else arrived from the replica, in
+    /// microseconds, or `None` if no send is overdue.
     pub fn stalled_us(&self, now_us: u64) -> Option<u64> {
-        let due_us = self.in_flight.iter().map(|one| one.due_us).min()?;
+        let due_us = self.in_flight.iter().map(|send| send.due_us).min()?;
         (due_us <= now_us).then(|| now_us - due_us.max(self.last_activity_us))
     }
 
-    /// What the end of a send says of the replica's version.
+    /// Returns the outcome of a send for the trial of the replica's version.
     ///
-    /// A replica that is cold is slow whatever its version, and one that cannot be reached has died.
+    /// An answer of a cold replica counts as fast, because a cold replica is slow whatever its
+    /// version. An unreachable replica is taken for crashed, so the send does not count.
     pub fn trial_outcome(
         &self,
         now_us: u64,
-        sent: &InFlightSend,
+        in_flight_send: &InFlightSend,
         outcome: SendOutcome,
     ) -> TrialOutcome {
         match outcome {
@@ -212,7 +222,7 @@
                 TrialOutcome::Answered { took_us: 0 }
             }
             SendOutcome::Answered => {
-                TrialOutcome::Answered { took_us: now_us.saturating_sub(sent.sent_us) }
+                TrialOutcome::Answered { took_us: now_us.saturating_sub(in_flight_send.sent_us) }
             }
             SendOutcome::Faulty | SendOutcome::Lost | SendOutcome::TimedOut => TrialOutcome::Failed,
             SendOutcome::Refused
@@ -222,7 +232,7 @@
         }
     }
 
-    pub fn record_end(&mut self, now_us: u64, sent: &InFlightSend, outcome: SendOutcome) {
+    pub fn record_end(&mut self, now_us: u64, in_flight_send: &InFlightSend, outcome: SendOutcome) {
         match outcome {
             SendOutcome::Answered
             | SendOutcome::Faulty
@@ -233,24 +243,25 @@
         }
         match outcome {
             SendOutcome::Answered => {
-                let took = now_us.saturating_sub(sent.sent_us) as f64;
-                let ratio = took / sent.expected_us.max(1) as f64;
+                let took = now_us.saturating_sub(in_flight_send.sent_us) as f64;
+                let ratio = took / in_flight_send.expected_us.max(1) as f64;
                 self.slowness.add(now_us, ratio.min(MAX_SLOWNESS_SAMPLE), SLOWNESS_WEIGHT);
-                self.slot_budget.record_answer(now_us, sent.sent_us, ratio);
+                self.slot_budget.record_answer(now_us, in_flight_send.sent_us, ratio);
                 self.error_rate.add(now_us, 0.0, ERROR_WEIGHT);
                 self.consecutive_failures = 0;
             }
             SendOutcome::Faulty | SendOutcome::Refused => {
                 self.error_rate.add(now_us, 1.0, ERROR_WEIGHT);
             }
-            // A replica that takes requests and loses answers still serves the others: where its
-            // sibling is slow, leaving it alone floods the sibling. One that has died shows when the
-            // next connection fails.
+            // No backoff: a replica that accepts requests and loses some answers still serves
+            // others, and avoiding it would overload the other replica if that one is slow. If the
+            // replica has crashed, the next connection fails.
             SendOutcome::Lost => self.error_rate.add(now_us, 1.0, ERROR_WEIGHT),
             SendOutcome::TimedOut => {
                 self.error_rate.add(now_us, 1.0, ERROR_WEIGHT);
                 self.consecutive_failures += 1;
-                // One silence may be the connection's; two in a row are the replica's.
+                // A single timeout may be a fault of the connection; two in a row are attributed to
+                // the replica.
                 if self.consecutive_failures > 1 {
                     self.back_off(now_us);
                 }
@@ -264,7 +275,7 @@
     }
 
     pub fn back_off(&mut self, now_us: u64) {
-        let doubled = MIN_BACKOFF_US << self.consecutive_failures.saturating_sub(1).min(8);
-        self.backoff_until_us = now_us + doubled.min(MAX_BACKOFF_US);
+        let backoff_us = MIN_BACKOFF_US << self.consecutive_failures.saturating_sub(1).min(8);
+        self.backoff_until_us = now_us + backoff_us.min(MAX_BACKOFF_US);
     }
 }
--- a/crates/sassafrasproxy-core/src/forward/routing/preconnect.rs
+++ b/crates/sassafrasproxy-core/src/forward/routing/preconnect.rs
@@ -1,70 +1,73 @@
-//! To which replicas connections are made before a request needs one.
+//! Decides to which replicas a node preconnects, before a request needs a connection.
 
 use ecow::EcoString;
 use indexmap::IndexMap;
 
-/// The pause after a first failure, in microseconds; doubles with each further one.
+/// The backoff after the first failed attempt, in microseconds; doubles with each further failure.
 ///
-/// A replica that has reached its cap drops connections as their idle times end, over seconds.
+/// A replica at its connection limit closes connections as their idle timeouts end, over seconds.
 const INITIAL_BACKOFF_US: u64 = 250_000;
 
-/// How often a connection is tried for before it is left to the first request that needs one:
-/// five times, in some four seconds.
+/// The maximum number of connection attempts, which take about four seconds; afterwards the first
+/// request that needs a connection makes it.
 const MAX_ATTEMPTS: u32 = 5;
 
-/// What is under way or done ahead of need, for each replica.
+/// Tracks the preconnect attempts to each replica.
 ///
-/// Guards against a storm after all nodes were lost at once: members and replicas are then learned
-/// in hundreds of steps, and replicas that still hold the dead nodes' connections reset new ones
-/// over their cap. Trying at each step for what was not there yet would keep them at their caps.
+/// Prevents a storm of connection attempts after all nodes were lost at once. Nodes then learn of
+/// members and replicas in hundreds of steps, and replicas that still hold the dead nodes'
+/// connections reset new ones above their connection limit. If each step retried every missing
+/// connection, the replicas would stay at their limits.
 #[derive(Debug, Clone, Default)]
 pub struct Preconnector {
     replicas: IndexMap<EcoString, PreconnectState>,
 }
 
-/// What was done for one replica.
+/// The preconnect attempts to one replica.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 struct PreconnectState {
-    /// When the replica's process started, in milliseconds since 1970; another one is a new start.
+    /// When the replica's process started, in milliseconds since 1970; a different value means that
+    /// the replica has restarted.
     born_ms: u64,
-    /// Tries that have begun; none begins before the one before it has ended.
+    /// The number of attempts that have begun; at most one is in flight.
     attempts: u32,
 }
 
-/// What to do after a try has failed.
+/// What to do after a failed attempt.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum PreconnectStep {
-    /// Try again after a pause.
+    /// Retry after a backoff.
     Retry {
-        /// The pause, in microseconds.
+        /// The backoff, in microseconds.
         backoff_us: u64,
     },
-    /// Leave it to the requests.
+    /// Stop; the next request that needs a connection makes it.
     GiveUp,
 }
 
 impl Preconnector {
-    /// Whether to begin with a replica now; the caller then tries, and tells of failures.
+    /// Returns whether to start preconnecting to a replica now. If so, the calling code makes the
+    /// attempt and reports a failure with `record_failure`.
     pub fn try_begin(&mut self, id: &EcoString, born_ms: u64) -> bool {
-        if self.replicas.get(id).is_some_and(|ahead| ahead.born_ms == born_ms) {
+        if self.replicas.get(id).is_some_and(|state| state.born_ms == born_ms) {
             return false;
         }
         self.replicas.insert(id.clone(), PreconnectState { born_ms, attempts: 1 });
         true
     }
 
-    /// Takes a failed try in.
+    /// Records a failed attempt and returns the next step.
     pub fn record_failure(&mut self, id: &str, born_ms: u64) -> PreconnectStep {
-        let Some(ahead) = self.replicas.get_mut(id) else { return PreconnectStep::GiveUp };
-        if ahead.born_ms != born_ms || ahead.attempts >= MAX_ATTEMPTS {
+        let Some(state) = self.replicas.get_mut(id) else { return PreconnectStep::GiveUp };
+        if state.born_ms != born_ms || state.attempts >= MAX_ATTEMPTS {
             return PreconnectStep::GiveUp;
         }
-        let pause_us = INITIAL_BACKOFF_US << (ahead.attempts - 1);
-        ahead.attempts += 1;
-        PreconnectStep::Retry { backoff_us: pause_us }
+        let backoff_us = INITIAL_BACKOFF_US << (state.attempts - 1);
+        state.attempts += 1;
+        PreconnectStep::Retry { backoff_us }
     }
 
-    /// Forgets replicas that are no more.
+    /// Removes the replicas that are no longer known.
     pub fn retain(&mut self, mut is_known: impl FnMut(&EcoString) -> bool) {
         self.replicas.retain(|id, _| is_known(id));
     }
--- a/crates/sassafrasproxy-core/src/forward/routing/route_table.rs
+++ b/crates/sassafrasproxy-core/src/forward/routing/route_table.rs
@@ -1,4 +1,4 @@
-//! Finding the route of a request.
+//! Finds the route of a request by host and path.
 
 use std::sync::Arc;
 
@@ -13,7 +13,7 @@
 }
 
 impl RouteTable {
-    /// Sorts routes by host and prefix; of two with both the same, the later one counts.
+    /// Creates a table of routes; of two with the same host and prefix, the later one is used.
     pub fn new(routes: impl IntoIterator<Item = Route>) -> Self {
         let mut table = Self::default();
         for route in routes {
@@ -23,21 +23,22 @@
         table
     }
 
-    /// The route with the longest prefix that begins a path.
+    /// Returns the route with the longest prefix of a path.
     ///
-    /// Looks up one prefix for each slash of the path, so the time does not grow with the routes.
+    /// Looks up one prefix for each slash of the path, so the time does not grow with the number of
+    /// routes.
     pub fn find_route(&self, host: &str, path: &str) -> Option<&Arc<Route>> {
         let by_prefix = self.hosts.get(host)?;
         let slashes = path.rmatch_indices('/').map(|(at, _)| at);
         slashes.into_iter().find_map(|at| by_prefix.get(&path[..=at]))
     }
 
-    /// The routes of a host.
+    /// Returns the routes of a host.
     pub fn host_routes(&self, host: &str) -> impl Iterator<Item = &Arc<Route>> {
         self.hosts.get(host).into_iter().flat_map(IndexMap::values)
     }
 
-    /// All routes.
+    /// Returns all routes.
     pub fn routes(&self) -> impl Iterator<Item = &Arc<Route>> {
         self.hosts.values().flat_map(IndexMap::values)
     }
--- a/crates/sassafrasproxy-core/src/forward/routing/shard_selection.rs
+++ b/crates/sassafrasproxy-core/src/forward/routing/shard_selection.rs
@@ -1,52 +1,55 @@
-//! Which shards a query asks while some have slow replicas only.
+//! Selects the shards that a query asks while some shards have only slow replicas.
 
 use crate::{ServiceForecast, SlowForecast};
 
-/// How many sends a node must have saved up for a slow replica before it makes one that a query can
-/// do without; the last is kept for a query that needs it.
+/// The minimum number of tokens for a send to a slow replica that the query does not need; one
+/// token is kept for a query that needs the replica.
 const MIN_SPARE_TOKENS: f64 = 1.5;
 
-/// How many sends beyond its share a node may have made to the slow replicas that a query needs for
-/// others to leave them to it.
+/// The minimum number of tokens for the slow replicas that a query needs to be reserved; negative
+/// because the node may have sent more than its share.
 ///
-/// Beyond it the parts that it needs come late whoever gives way: then nobody does.
+/// Below it, the needed parts arrive late even if other queries leave the replicas to this one.
 const MIN_NEEDED_TOKENS: f64 = -2.0;
 
-/// How a query goes about shards that have slow replicas only.
+/// The shards with only slow replicas that a query excludes or reserves, by index.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct ShardSelection {
-    /// The shards that it leaves out.
+    /// The excluded shards, which the query does not ask.
     pub skipped: Vec<usize>,
-    /// The shards with slow replicas, if the query needs one of them: other queries had better
-    /// leave their slots to it.
+    /// All shards with only slow replicas, if the query needs at least one of them and can get its
+    /// parts in time; other queries should leave their slots to it.
     pub reserved: Vec<usize>,
 }
 
-/// Decides which shards of a query are left out, for it and others to be answered in time.
+/// Selects the shards that a query excludes, so that it and other queries are answered in time.
 ///
-/// `prospects` has what each shard probably brings, `None` where none can be asked now. While
-/// no query needs a slow replica for its least coverage, all are asked: then a part that comes in
-/// time is won, and one that is late costs nobody anything. Where queries do need one, their parts
-/// are shared out, as a replica that gets all of them answers none in time.
-pub fn select_shards(prospects: &[Option<ServiceForecast>], min_parts: usize) -> ShardSelection {
-    let askable = prospects.iter().flatten().count();
-    let mut slow: Vec<(usize, SlowForecast)> = prospects
+/// `forecasts` has an entry for each shard, `None` if the shard has no replica that can be asked
+/// now. While no query needs a slow replica for its minimum coverage, all shards are asked: a part
+/// in time improves the answer, and a late part harms no other query. If queries need slow
+/// replicas, each asks only some of them, because a replica that receives all the sub-requests
+/// answers none in time.
+pub fn select_shards(forecasts: &[Option<ServiceForecast>], min_parts: usize) -> ShardSelection {
+    let available = forecasts.iter().flatten().count();
+    let mut slow: Vec<(usize, SlowForecast)> = forecasts
         .iter()
         .enumerate()
-        .filter_map(|(at, prospect)| Some((at, prospect.as_ref()?.slow?)))
+        .filter_map(|(shard, forecast)| Some((shard, forecast.as_ref()?.slow?)))
         .collect();
-    let needed = min_parts.saturating_sub(askable - slow.len());
-    // The one with the most room first, so that a node's queries take turns at slow replicas.
+    let needed_slow = min_parts.saturating_sub(available - slow.len());
+    // The replica with the most tokens comes first, so that a node's queries take turns at the slow
+    // replicas.
     slow.sort_by(|(_, a), (_, b)| b.tokens.total_cmp(&a.tokens));
-    let can_wait =
-        |slow: &SlowForecast| slow.tokens < MIN_SPARE_TOKENS && (needed > 0 || slow.is_reserved);
-    let rest = slow.iter().skip(needed);
-    let left_out = rest.filter(|(_, slow)| can_wait(slow)).map(|(at, _)| *at).collect();
-    let last_needed = needed.checked_sub(1).and_then(|last| slow.get(last));
-    let is_bearable = last_needed.is_some_and(|(_, slow)| slow.tokens >= MIN_NEEDED_TOKENS);
-    let contested = match is_bearable {
-        true => slow.iter().map(|(at, _)| *at).collect(),
+    let can_skip = |slow: &SlowForecast| {
+        slow.tokens < MIN_SPARE_TOKENS && (needed_slow > 0 || slow.is_reserved)
+    };
+    let not_needed = slow.iter().skip(needed_slow);
+    let skipped = not_needed.filter(|(_, slow)| can_skip(slow)).map(|(shard, _)| *shard).collect();
+    let last_needed = needed_slow.checked_sub(1).and_then(|last| slow.get(last));
+    let can_be_in_time = last_needed.is_some_and(|(_, slow)| slow.tokens >= MIN_NEEDED_TOKENS);
+    let reserved = match can_be_in_time {
+        true => slow.iter().map(|(shard, _)| *shard).collect(),
         false => Vec::new(),
     };
-    ShardSelection { skipped: left_out, reserved: contested }
+    ShardSelection { skipped, reserved }
 }
--- a/crates/sassafrasproxy-core/src/forward/routing/slot_budget.rs
+++ b/crates/sassafrasproxy-core/src/forward/routing/slot_budget.rs
@@ -1,60 +1,64 @@
-//! What one node may send to a replica that is slow, so that all nodes together do not swamp it.
+//! Limits what one node sends to a slow replica, so that all nodes together do not overload it.
 
 use super::decaying_mean::DecayingMean;
 
-/// From how many times the usual time on an answer counts as slow.
+/// The ratio of an answer's time to the usual time from which the answer counts as slow.
 const SLOW_RATIO: f64 = 2.0;
 
-/// From which mean a replica counts as slow: two answers in a row that a pause held up.
+/// The mean slowness from which a replica counts as slow; it takes two answers in a row that a
+/// pause delayed.
 const MIN_MEAN_SLOWNESS: f64 = 3.0;
 
-/// How much one answer counts in how long a slow replica takes.
+/// The weight of one answer in the uncapped mean slowness.
 const UNCAPPED_SLOWNESS_WEIGHT: f64 = 0.5;
 
-/// How long queries that can do without a slow replica leave it to those that needed it, in
-/// microseconds.
+/// The time for which a slow replica is reserved after a query needed it, in microseconds; queries
+/// that do not need it leave it to those that do.
 ///
-/// A node gets a query that needs it each tenth of a second at the users' load.
+/// At the users' load, a node receives a query that needs the replica every 100 ms.
 const RESERVATION_US: u64 = 500_000;
 
-/// How many sends to a slow replica a node may save up: one for a query that needs it and one more.
+/// The maximum number of tokens for a slow replica that a node may accumulate: one for a query that
+/// needs the replica and one more.
 const MAX_TOKENS: f64 = 2.0;
 
-/// How many sends beyond its share a node remembers, so that it may send again soon after.
+/// The maximum number of sends beyond its share that count against a node; a limit lets it send
+/// again soon afterwards.
 const MAX_TOKEN_DEBT: f64 = 4.0;
 
-/// What a slow replica bears.
+/// What a node may send to a slow replica.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct SlowForecast {
-    /// How many sends this node may make now by its share of the replica's slots; negative after
-    /// sends beyond it.
+    /// The number of sends that this node may make now by its share of the replica's slots;
+    /// negative after sends beyond the share.
     pub tokens: f64,
-    /// Whether a query needed the replica lately.
+    /// Whether a query needed the replica recently.
     pub is_reserved: bool,
 }
 
-/// One node's share of a replica's slots, counted in work.
+/// One node's budget for a replica's slots, measured in work.
 ///
-/// The work of a send is the whole time until its answer. With as much work from all nodes as the
-/// slots do, as many sends are under way as there are slots (Little's law), and few wait at the
-/// replica, however slow it is and without the nodes telling each other.
+/// The work of a send is the total time until its answer. If all nodes together send as much work
+/// as the slots complete, as many sends are in flight as there are slots (Little's law). Few sends
+/// then wait at the replica, however slow it is, and the nodes need not exchange messages for it.
 #[derive(Debug)]
 pub struct SlotBudget {
-    /// The part of the replica's slots that is this node's, if all nodes use as much.
+    /// This node's equal share of the replica's slots.
     slots: f64,
-    /// How many times the usual time answers took lately, stragglers in full.
+    /// The mean ratio of recent answer times to the usual time, with stragglers counted in full.
     uncapped_slowness: DecayingMean,
-    /// Since when all answers were slow, by the time at which the first was sent.
+    /// When the first of the latest slow answers in a row was sent; `None` if the last answer was
+    /// not slow.
     slow_since_us: Option<u64>,
-    /// The work that this node may still give to the replica, in microseconds, as of `noted_us`.
+    /// The work that this node may still send to the replica as of `updated_us`, in microseconds.
     work_left_us: f64,
     updated_us: u64,
-    /// Until when queries that need the replica go before others.
+    /// Until when the replica is reserved for queries that need it.
     reserved_until_us: u64,
 }
 
 impl SlotBudget {
-    /// A share of one slot, of a replica that is not slow.
+    /// Creates the budget for one slot of a replica that is not slow.
     pub fn new() -> Self {
         Self {
             slots: 1.0,
@@ -66,49 +70,52 @@
         }
     }
 
-    /// Sets how many of the replica's slots are this node's.
+    /// Sets this node's share of the replica's slots.
     pub fn set_slots(&mut self, slots: f64) {
         self.slots = slots;
     }
 
-    /// Notes an answer that took `ratio` times the usual time.
+    /// Records an answer that took `ratio` times the usual time.
     pub fn record_answer(&mut self, now_us: u64, sent_us: u64, ratio: f64) {
         self.uncapped_slowness.add(now_us, ratio, UNCAPPED_SLOWNESS_WEIGHT);
-        let since_us = self.slow_since_us.unwrap_or(sent_us);
-        self.slow_since_us = (ratio >= SLOW_RATIO).then_some(since_us);
+        let slow_since_us = self.slow_since_us.unwrap_or(sent_us);
+        self.slow_since_us = (ratio >= SLOW_RATIO).then_some(slow_since_us);
     }
 
-    /// Notes a send whose usual time is `expected_us`.
+    /// Records a send whose usual time is `expected_us`.
     pub fn record_send(&mut self, now_us: u64, expected_us: u64) {
         let work_us = self.work_us(now_us, expected_us);
         self.work_left_us = self.available_work_us(now_us, work_us) - work_us;
         self.updated_us = now_us;
     }
 
-    /// Notes that a query needs the replica.
+    /// Records that a query needs the replica.
     pub fn reserve(&mut self, now_us: u64) {
         self.reserved_until_us = now_us + RESERVATION_US;
     }
 
-    /// What the replica bears if it has been slow for a while; `slowness` is how many times the
-    /// usual time its answers take, and a pause is over within `pause_us`.
+    /// Returns what this node may send if the replica has been slow for longer than a pause, or
+    /// `None` otherwise.
+    ///
+    /// `slowness` is the mean ratio of answer times to the usual time; `max_pause_us` is the time
+    /// within which a pause ends.
     pub fn forecast(
         &self,
         now_us: u64,
         expected_us: u64,
         slowness: f64,
-        pause_us: u64,
+        max_pause_us: u64,
     ) -> Option<SlowForecast> {
-        let is_lasting = self.slow_since_us? + pause_us <= now_us;
-        if !is_lasting || slowness < MIN_MEAN_SLOWNESS {
+        let is_persistent = self.slow_since_us? + max_pause_us <= now_us;
+        if !is_persistent || slowness < MIN_MEAN_SLOWNESS {
             return None;
         }
         let work_us = self.work_us(now_us, expected_us);
-        let room = self.available_work_us(now_us, work_us) / work_us;
-        Some(SlowForecast { tokens: room, is_reserved: now_us < self.reserved_until_us })
+        let tokens = self.available_work_us(now_us, work_us) / work_us;
+        Some(SlowForecast { tokens, is_reserved: now_us < self.reserved_until_us })
     }
 
-    /// The work that a send probably makes, in microseconds.
+    /// Returns the expected work of a send, in microseconds.
     fn work_us(&self, now_us: u64, expected_us: u64) -> f64 {
         self.uncapped_slowness.value(now_us) * expected_us.max(1) as f64
     }
--- a/crates/sassafrasproxy-core/src/forward/routing/weighted_round_robin.rs
+++ b/crates/sassafrasproxy-core/src/forward/routing/weighted_round_robin.rs
@@ -1,35 +1,37 @@
-//! Sharing the requests of a route out among services by weight.
+//! Distributes the requests of a route among services by weight.
 
 use ecow::EcoString;
 use sassafrasproxy_wire::WeightedService;
 
-/// Chooses the services of one split route in turn, so that shares are met at every count.
+/// Selects the services of one route with several weighted services in turn (smooth weighted round
+/// robin).
 ///
-/// Smooth weighted round robin: after any number of requests a service's count is within one of
-/// its share, where random choice would stray by the root of the count.
+/// After any number of requests, the count of each service is within two requests of its share.
+/// With random selection, the difference would grow with the square root of the count.
 #[derive(Debug, Clone, Default)]
 pub struct WeightedRoundRobin {
-    parts: Vec<WeightedService>,
+    services: Vec<WeightedService>,
     credits: Vec<f64>,
 }
 
 impl WeightedRoundRobin {
-    /// The service for the next request; `None` if no service has a weight.
+    /// Returns the service for the next request, or `None` if no service has a weight above 0.
     ///
-    /// `spread` in 0 to 1 moves the starting point, so that nodes do not all begin with the same.
-    pub fn next(&mut self, parts: &[WeightedService], spread: f64) -> Option<EcoString> {
-        if self.parts != parts {
-            self.parts = parts.to_vec();
-            self.credits = parts.iter().map(|part| part.weight * spread).collect();
+    /// `offset`, in 0 to 1, moves the starting point, so that not all nodes begin with the same
+    /// service.
+    pub fn next(&mut self, services: &[WeightedService], offset: f64) -> Option<EcoString> {
+        if self.services != services {
+            self.services = services.to_vec();
+            self.credits = services.iter().map(|entry| entry.weight * offset).collect();
         }
-        let total: f64 = parts.iter().map(|part| part.weight).sum();
-        for (credit, part) in self.credits.iter_mut().zip(parts) {
-            *credit += part.weight;
+        let total: f64 = services.iter().map(|entry| entry.weight).sum();
+        for (credit, entry) in self.credits.iter_mut().zip(services) {
+            *credit += entry.weight;
         }
-        let weighted = parts.iter().enumerate().filter(|(_, part)| part.weight > 0.0);
-        let (best, part) =
+        let weighted = services.iter().enumerate().filter(|(_, entry)| entry.weight > 0.0);
+        let (best, entry) =
             weighted.max_by(|(a, _), (b, _)| self.credits[*a].total_cmp(&self.credits[*b]))?;
         self.credits[best] -= total;
-        Some(part.service.clone())
+        Some(entry.service.clone())
     }
 }
