--- a/crates/sassafrasproxy-core/src/forward/routing/pool/mod.rs
+++ b/crates/sassafrasproxy-core/src/forward/routing/pool/mod.rs
@@ -31,9 +31,9 @@
 /// How a send ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum SendOutcome {
-    /// The replica answered successfully.
+    /// The replica answered without a server error.
     Answered,
-    /// The replica answered with a failure.
+    /// The replica answered with a server error.
     Faulty,
     /// The replica reported that it did not run the request.
     Refused,
--- a/crates/sassafrasproxy-core/tests/directories.rs
+++ b/crates/sassafrasproxy-core/tests/directories.rs
@@ -1,4 +1,4 @@
-//! Which nodes callers are told to use.
+//! Tests which nodes the directory names to callers.
 
 use indexmap::IndexMap;
 use sassafrasproxy_core::{DirectoryNode, directory_addresses};
@@ -32,14 +32,23 @@
         node("n2", "north", Alive),
     ];
     let counts = [("west", 20), ("east", 20)];
-    assert_eq!(addresses(&nodes, &counts, "west"), ["w1", "w2", "e1"], "one of another domain");
-    assert_eq!(addresses(&nodes, &counts, "east"), ["w1", "w2", "e1"], "one alone is too few");
-    assert_eq!(addresses(&nodes, &counts, "north"), ["w1", "w2", "e1"], "no replicas there");
-    assert_eq!(addresses(&nodes, &[], "north").len(), 5, "before any replica is known");
+    assert_eq!(
+        addresses(&nodes, &counts, "west"),
+        ["w1", "w2", "e1"],
+        "one node of another domain is named"
+    );
+    assert_eq!(addresses(&nodes, &counts, "east"), ["w1", "w2", "e1"], "one node is too few");
+    assert_eq!(
+        addresses(&nodes, &counts, "north"),
+        ["w1", "w2", "e1"],
+        "the domain has no replicas"
+    );
+    assert_eq!(addresses(&nodes, &[], "north").len(), 5, "no replica is known yet");
 }
 
-/// Fifty-six VMs of an eighth of a core and a few of a half: a query over many shards would take
-/// four times as long on a small one. Small ones are named once the large ones are gone.
+/// In a deployment with 56 VMs of an eighth of a core and a few of half a core, a query over many
+/// shards takes four times as long on a small VM. Small ones are named only if too few large ones
+/// are left.
 #[test]
 fn prefers_large_nodes() {
     let small = |address: &str| DirectoryNode {
@@ -56,10 +65,11 @@
     assert_eq!(addresses(&nodes, &counts, "west"), ["l1", "l2", "l3"]);
     assert_eq!(addresses(&nodes, &counts, "east"), ["l1", "l2", "l3"]);
     let nodes = [small("s1"), small("s2"), large("l3", "east")];
-    assert_eq!(addresses(&nodes, &counts, "west"), ["s1", "s2", "l3"], "one alone is too few");
+    assert_eq!(addresses(&nodes, &counts, "west"), ["s1", "s2", "l3"], "one node is too few");
 }
 
-/// Guards against callers all of whose addresses hang when their failure domain is lost.
+/// A failure domain is lost while callers still use the directory's answer. If it named nodes of
+/// this domain only, all requests would hang.
 #[test]
 fn names_second_domain() {
     let domains = ["west", "east", "north"];
@@ -73,11 +83,11 @@
     assert!(others.clone().count() == 1 && others.clone().all(|one| one.starts_with("east")));
     let west =
         &nodes.iter().filter(|one| one.failure_domain == "west").cloned().collect::<Vec<_>>();
-    assert_eq!(addresses(west, &counts, "west").len(), 4, "there is no other domain");
+    assert_eq!(addresses(west, &counts, "west").len(), 4, "no other domain has nodes");
 }
 
-/// A node that leaves or is dead must not be named; one that is only suspected, where nothing
-/// else is left.
+/// Callers would fail on a node that is leaving or dead, so it must not be named. A suspected node
+/// is named only if no alive node is left.
 #[test]
 fn member_states() {
     use MemberState::{Alive, Dead, Leaving, Suspect};
--- a/crates/sassafrasproxy-core/tests/part_distribution.rs
+++ b/crates/sassafrasproxy-core/tests/part_distribution.rs
@@ -1,8 +1,9 @@
-//! Sharing the parts of a query out among nodes.
+//! Tests the distribution of a query's parts among nodes.
 
 use sassafrasproxy_core::distribute_parts;
 
-/// Guards against a node that sends hundreds of parts one after the other beside idle ones.
+/// Guards against a node that sends hundreds of sub-requests one after the other while other nodes
+/// are idle.
 #[test]
 fn many_parts() {
     assert_eq!(distribute_parts(43, 3, 125), [15, 14, 14]);
@@ -10,7 +11,7 @@
     assert_eq!(distribute_parts(200, 50, 1_000), [100, 100]);
 }
 
-/// Guards against messages to other nodes that save nothing.
+/// Guards against messages to other nodes that save no time.
 #[test]
 fn few_parts() {
     assert_eq!(distribute_parts(43, 3, 500), [43]);
@@ -18,7 +19,7 @@
     assert_eq!(distribute_parts(0, 3, 125), [0]);
 }
 
-/// Guards against parts that nobody sends.
+/// Guards against parts that no node requests.
 #[test]
 fn all_parts_assigned() {
     for parts in 0..300 {
--- a/crates/sassafrasproxy-core/tests/replica_choice.rs
+++ b/crates/sassafrasproxy-core/tests/replica_choice.rs
@@ -1,4 +1,4 @@
-//! Which replica a send goes to.
+//! Tests which replica a send goes to.
 
 #![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 
@@ -10,14 +10,14 @@
 use sassafrasproxy_wire::{ReplicaEntry, RoutedService};
 
 const EXPECTED_US: u64 = 8_000;
-const PATIENCE_US: u64 = 15_000;
+const STALL_AFTER_US: u64 = 15_000;
 
-fn catalogue(ids: &[(&str, &str)], warmup: Option<f64>) -> Catalogue {
+fn catalogue(ids: &[(&str, &str)], warmup_per_s: Option<f64>) -> Catalogue {
     let service = RoutedService {
         health_path: "/health".into(),
         max_connections: 64,
         warmup_ms: 3_000,
-        warmup_per_s: warmup,
+        warmup_per_s,
     };
     let replicas = ids.iter().map(|(id, domain)| {
         let entry = ReplicaEntry {
@@ -30,7 +30,7 @@
             failure_domain: (*domain).into(),
             slots: 2,
             is_draining: false,
-            cold_for_ms: if warmup.is_some() { 3_000 } else { 0 },
+            cold_for_ms: if warmup_per_s.is_some() { 3_000 } else { 0 },
         };
         let replica = CatalogueReplica::eligible(entry, 0);
         ((*id).into(), replica)
@@ -55,10 +55,16 @@
     pool.pick("s", now_us, EXPECTED_US, &[])
 }
 
-/// Sends to a replica, and ends the send after a time.
-fn complete_send(pool: &mut UpstreamPool, id: &str, now_us: u64, took_us: u64, end: SendOutcome) {
-    let send = pool.start_send(id, now_us, EXPECTED_US, PATIENCE_US).unwrap();
-    pool.finish_send(id, send, now_us + took_us, end, None);
+/// Starts a send to a replica and finishes it after `took_us` with `outcome`.
+fn complete_send(
+    pool: &mut UpstreamPool,
+    id: &str,
+    now_us: u64,
+    took_us: u64,
+    outcome: SendOutcome,
+) {
+    let send = pool.start_send(id, now_us, EXPECTED_US, STALL_AFTER_US).unwrap();
+    pool.finish_send(id, send, now_us + took_us, outcome, None);
 }
 
 #[test]
@@ -70,20 +76,20 @@
     }
 }
 
-/// A replica stands still for a tenth of a second. The first request that waits beyond its usual
-/// time shows it, and new ones go to the sibling until it answers.
+/// A replica pauses for 100 ms. Requests would wait for the end of the pause; the first send that
+/// stalls shows it, and new sends go to the other replica until the send has ended.
 #[test]
 fn stalled_replica() {
     let mut pool = pool(&[("near", "west"), ("far", "east")], 8);
-    let send = pool.start_send("near", 0, EXPECTED_US, PATIENCE_US).unwrap();
-    assert_eq!(pick(&mut pool, PATIENCE_US - 1).unwrap(), "near");
-    assert_eq!(pick(&mut pool, PATIENCE_US).unwrap(), "far");
+    let send = pool.start_send("near", 0, EXPECTED_US, STALL_AFTER_US).unwrap();
+    assert_eq!(pick(&mut pool, STALL_AFTER_US - 1).unwrap(), "near");
+    assert_eq!(pick(&mut pool, STALL_AFTER_US).unwrap(), "far");
     pool.finish_send("near", send, 30_000, SendOutcome::Cancelled, None);
     assert_eq!(pick(&mut pool, 30_000).unwrap(), "near");
 }
 
-/// A replica works eight times as slowly for some seconds. It is left after a few answers, and
-/// tried again within three seconds.
+/// A replica is eight times slower for some seconds. It is avoided after a few answers, and tried
+/// again within three seconds, because it may have recovered.
 #[test]
 fn slow_replica() {
     let mut pool = pool(&[("near", "west"), ("far", "east")], 8);
@@ -96,7 +102,8 @@
     assert_eq!(pick(&mut pool, now_us + 3_000_000).unwrap(), "near");
 }
 
-/// One request in a hundred takes five times as long everywhere: that alone moves no work.
+/// One request in a hundred takes five times as long on any replica. A single one must not move
+/// requests to another failure domain.
 #[test]
 fn single_straggler() {
     let mut pool = pool(&[("near", "west"), ("far", "east")], 8);
@@ -105,8 +112,8 @@
     assert_eq!(pick(&mut pool, 100_000).unwrap(), "near");
 }
 
-/// A process is down: its address refuses connections. It is left alone for a while that grows,
-/// and gets work within 1.6 s of its return.
+/// A replica's process is down and its address refuses connections. It is avoided with a growing
+/// backoff, and receives requests within 1.6 s after it has recovered.
 #[test]
 fn unreachable_replica() {
     let mut pool = pool(&[("near", "west")], 8);
@@ -121,7 +128,8 @@
     }
 }
 
-/// Replicas fail part of their requests while they look sound: the sibling gets more.
+/// A replica answers part of its requests with errors while it appears healthy. The other replica
+/// must receive more requests.
 #[test]
 fn failing_replica() {
     let mut pool = pool(&[("near", "west"), ("far", "east")], 8);
@@ -131,29 +139,35 @@
     assert_eq!(pick(&mut pool, 5_000).unwrap(), "far");
 }
 
-/// The replica's own word on its load counts what other nodes send there.
+/// Other nodes load a replica, which this node sees only in the load that the replica reports. A
+/// recent report moves requests to the other replica.
 #[test]
 fn reported_load() {
     let mut pool = pool(&[("near", "west"), ("far", "east")], 8);
-    let send = pool.start_send("near", 0, EXPECTED_US, PATIENCE_US).unwrap();
+    let send = pool.start_send("near", 0, EXPECTED_US, STALL_AFTER_US).unwrap();
     pool.finish_send("near", send, EXPECTED_US, SendOutcome::Answered, Some(9));
     assert_eq!(pick(&mut pool, EXPECTED_US).unwrap(), "far");
-    assert_eq!(pick(&mut pool, EXPECTED_US + 100_000).unwrap(), "near", "old news");
+    assert_eq!(
+        pick(&mut pool, EXPECTED_US + 100_000).unwrap(),
+        "near",
+        "the reported load is outdated"
+    );
 }
 
-/// Each node keeps to its share of the connections that a replica accepts from all.
+/// A replica accepts a limited number of connections from all nodes together. Each node must stay
+/// within its share, or the replica resets connections.
 #[test]
 fn connection_share() {
     let mut pool = pool(&[("near", "west")], 16);
     for _ in 0..4 {
         assert!(pick(&mut pool, 0).is_some());
-        pool.start_send("near", 0, EXPECTED_US, PATIENCE_US).unwrap();
+        pool.start_send("near", 0, EXPECTED_US, STALL_AFTER_US).unwrap();
     }
-    assert_eq!(pick(&mut pool, 0), None, "four of sixty-four for each of sixteen nodes");
+    assert_eq!(pick(&mut pool, 0), None, "each of 16 nodes may use 4 of 64 connections");
 }
 
-/// A replica has just started and bears twenty requests a second. All nodes want it at once; in
-/// no second may it get more than 1.5 times that and 5.
+/// A replica has just started and can take 20 requests per second, and all nodes send to it at
+/// once. In no second may it receive more than 1.5 times this rate plus 5.
 #[test]
 fn cold_start() {
     let nodes = 8;
@@ -167,7 +181,7 @@
     for now_us in (0..3_000_000).step_by(5_000) {
         for pool in &mut pools {
             if pool.pick("s", now_us, EXPECTED_US, &[]).is_some() {
-                let send = pool.start_send("near", now_us, EXPECTED_US, PATIENCE_US).unwrap();
+                let send = pool.start_send("near", now_us, EXPECTED_US, STALL_AFTER_US).unwrap();
                 pool.finish_send("near", send, now_us + 1, SendOutcome::Answered, None);
                 sends.push(now_us);
             }
@@ -180,7 +194,8 @@
     assert!(sends.len() >= 60, "only {} in three seconds", sends.len());
 }
 
-/// A replica starts again under its old id: what was known of the old life does not count.
+/// A replica restarts with the same id. The backoff of its previous incarnation must not keep
+/// requests from it.
 #[test]
 fn restarted_replica() {
     let mut pool = pool(&[("near", "west")], 8);
@@ -195,21 +210,21 @@
     assert_eq!(pick(&mut pool, 200).unwrap(), "near");
 }
 
-/// 200 nodes, 8 of which callers are sent to, share a replica that takes 64 connections. The
-/// others get a request now and then; if each kept its connection, the replica would be full of
-/// idle ones, and reset those that requests need.
+/// 200 nodes, 8 of them ingress nodes, share a replica that accepts 64 connections. The others
+/// receive a request only occasionally. If each kept an idle connection, the replica would be at
+/// its limit and reset the connections that requests need.
 #[test]
 fn idle_connections() {
     let few = pool(&[("a", "west")], 8);
     assert_eq!(few.max_idle_connections("a", 200, true), 8);
     assert_eq!(few.max_idle_connections("a", 200, false), 0);
-    assert_eq!(few.max_idle_connections("a", 30, false), 2, "room for all");
+    assert_eq!(few.max_idle_connections("a", 30, false), 2, "the limit suffices for all nodes");
     assert_eq!(few.max_idle_connections("gone", 30, true), 0);
 }
 
-/// Both replicas of a shard work four times as slowly, and the near one has no free slot by its
-/// own word of a moment ago. The wait for one is four times as long as a sound replica's: queries
-/// sent into it came late while the sibling had a slot free.
+/// Both replicas of a shard are four times slower, and the near one has just reported that it has
+/// no free slot. The wait for a slot is four times as long as at a healthy replica. If this is not
+/// counted, queries wait there and are late while the other replica has a free slot.
 #[test]
 fn queue_of_slow_replica() {
     let mut pool = pool(&[("near", "west"), ("far", "east")], 8);
@@ -221,15 +236,15 @@
         now_us += 10_000;
     }
     assert_eq!(pick(&mut pool, now_us).unwrap(), "near");
-    let send = pool.start_send("near", now_us, EXPECTED_US, 10 * PATIENCE_US).unwrap();
+    let send = pool.start_send("near", now_us, EXPECTED_US, 10 * STALL_AFTER_US).unwrap();
     now_us += 4 * EXPECTED_US;
     pool.finish_send("near", send, now_us, SendOutcome::Answered, Some(2));
     assert_eq!(pick(&mut pool, now_us + 20_000).unwrap(), "far");
 }
 
-/// A replica is eight times slower for good. Eight nodes that each send it all they have would let
-/// its queue grow until every answer is late: once it has been slow for longer than a pause, a node
-/// has room for no more than its eighth of the two slots.
+/// A replica is persistently eight times slower. If eight nodes each send it all their requests,
+/// its queue grows until every answer is late. Once it has been slow for longer than a pause, a
+/// node has tokens for no more than its eighth of the two slots.
 #[test]
 fn persistently_slow_replica() {
     let mut pool = pool(&[("near", "west")], 8);
@@ -240,11 +255,11 @@
         complete_send(&mut pool, "near", now_us, took_us, SendOutcome::Answered);
         now_us += took_us;
     }
-    assert!(slow(&pool, now_us).is_none(), "a pause may last as long");
+    assert!(slow(&pool, now_us).is_none(), "a pause may last as long as this");
     complete_send(&mut pool, "near", now_us, took_us, SendOutcome::Answered);
     now_us += took_us;
     assert!(slow(&pool, now_us).unwrap().tokens < 0.0, "four sends in a quarter of a second");
-    // A quarter of a slot does one send of 64 ms in 256 ms.
+    // A quarter of a slot completes one send of 64 ms in 256 ms.
     let start_us = now_us;
     let mut sends = 0;
     while now_us < start_us + 2_000_000 {
@@ -256,5 +271,5 @@
     }
     assert!((5..=9).contains(&sends), "{sends} sends in two seconds");
     complete_send(&mut pool, "near", now_us, EXPECTED_US, SendOutcome::Answered);
-    assert!(slow(&pool, now_us + EXPECTED_US).is_none(), "it is quick again");
+    assert!(slow(&pool, now_us + EXPECTED_US).is_none(), "the replica is no longer slow");
 }
--- a/crates/sassafrasproxy-core/tests/request_quarantine.rs
+++ b/crates/sassafrasproxy-core/tests/request_quarantine.rs
@@ -1,4 +1,4 @@
-//! Requests that crash the replicas that run them.
+//! Tests the quarantine of requests that crash the replicas that run them.
 
 use sassafrasproxy_core::{CrashReport, RequestQuarantine};
 
@@ -6,39 +6,40 @@
     CrashReport::fingerprint("shop.example", "GET", path, b"")
 }
 
-/// A caller sends one request again and again, to three nodes in turn. Each node sees one death
-/// of its own and hears of the others: from the third on, all refuse it.
+/// A caller repeats a request that crashes replicas, on three nodes in turn. Each node observes one
+/// crash and receives reports of the others. After the third crash, all nodes refuse the request.
 #[test]
 fn reports_from_three_nodes() {
-    let poison = fingerprint("/x/1");
+    let crashing = fingerprint("/x/1");
     let mut nodes =
         [RequestQuarantine::default(), RequestQuarantine::default(), RequestQuarantine::default()];
     for attempt in 0..3 {
         for node in &mut nodes {
-            assert!(!node.is_quarantined(0, poison), "refused before attempt {attempt}");
+            assert!(!node.is_quarantined(0, crashing), "refused before attempt {attempt}");
         }
-        let report = CrashReport::new(poison, &format!("a{attempt}"), "r1");
+        let report = CrashReport::new(crashing, &format!("a{attempt}"), "r1");
         for node in &mut nodes {
             assert!(node.add_report(0, report));
-            assert!(!node.add_report(0, report), "the same death twice");
+            assert!(!node.add_report(0, report), "the same crash was counted twice");
         }
     }
     for node in &mut nodes {
-        assert!(node.is_quarantined(0, poison));
+        assert!(node.is_quarantined(0, crashing));
         assert!(!node.is_quarantined(0, fingerprint("/x/2")), "another request");
-        assert!(!node.is_quarantined(31_000_000, poison), "replicas may have been mended");
+        assert!(!node.is_quarantined(31_000_000, crashing), "the replicas may have been fixed");
     }
 }
 
-/// A failure domain goes down while a query runs on twenty of its replicas: that is one death.
+/// A failure domain is lost while a query runs on twenty of its replicas. The crashes count once,
+/// or the query would be quarantined although it did not cause them.
 #[test]
 fn simultaneous_crashes() {
     let query = fingerprint("/all/1");
-    let mut watch = RequestQuarantine::default();
+    let mut quarantine = RequestQuarantine::default();
     for _ in 0..20 {
-        watch.add_report(0, CrashReport::new(query, "a1", ""));
+        quarantine.add_report(0, CrashReport::new(query, "a1", ""));
     }
-    assert!(!watch.is_quarantined(0, query));
+    assert!(!quarantine.is_quarantined(0, query));
 }
 
 #[test]
--- a/crates/sassafrasproxy-core/tests/routing.rs
+++ b/crates/sassafrasproxy-core/tests/routing.rs
@@ -1,4 +1,4 @@
-//! Which route a request takes, and which service of a split.
+//! Tests which route a request takes, and which of a route's weighted services.
 
 #![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 
@@ -46,11 +46,11 @@
 }
 
 proptest! {
-    /// Operators shift a tenth of the requests to a new service. At every count, its share is met
-    /// within one request, so that no span of the day is far off its weights.
+    /// Operators shift a tenth of the requests to a new service. At every count, each service has
+    /// its share within two requests; random selection would deviate from the weights for a time.
     #[test]
-    fn weights(weights in prop::collection::vec(0_u32..20, 1..6), spread in 0.0..1.0_f64) {
-        let parts: Vec<WeightedService> = weights
+    fn weights(weights in prop::collection::vec(0_u32..20, 1..6), offset in 0.0..1.0_f64) {
+        let services: Vec<WeightedService> = weights
             .iter()
             .enumerate()
             .map(|(at, weight)| WeightedService {
@@ -59,16 +59,16 @@
             })
             .collect();
         let total: u32 = weights.iter().sum();
-        let mut chooser = WeightedRoundRobin::default();
+        let mut round_robin = WeightedRoundRobin::default();
         let mut counts = IndexMap::new();
         for count in 1..=200_u32 {
-            let chosen = chooser.next(&parts, spread);
+            let chosen = round_robin.next(&services, offset);
             prop_assert_eq!(chosen.is_some(), total > 0);
             let Some(service) = chosen else { return Ok(()) };
             *counts.entry(service).or_insert(0_u32) += 1;
-            for part in &parts {
-                let share = f64::from(count) * part.weight / f64::from(total);
-                let got = f64::from(counts.get(&part.service).copied().unwrap_or(0));
+            for entry in &services {
+                let share = f64::from(count) * entry.weight / f64::from(total);
+                let got = f64::from(counts.get(&entry.service).copied().unwrap_or(0));
                 prop_assert!((got - share).abs() <= 2.0, "{got} of {share} after {count}");
             }
         }
