--- a/crates/sassafrasproxy-core/tests/shards/mod.rs
+++ b/crates/sassafrasproxy-core/tests/shards/mod.rs
@@ -1,4 +1,5 @@
-//! Plays queries over shards in virtual time: gateways with the real reducers, modelled replicas.
+//! Simulates queries over shards in virtual time, with the real decision code of the nodes and
+//! modelled replicas.
 
 #![allow(dead_code, clippy::unwrap_used, reason = "each test file uses its part")]
 
@@ -40,6 +41,7 @@
     pause_phase_us: u64,
 }
 
+/// A send; `query` and `replica` are indexes into the lists of the simulation.
 struct SimulatedSend {
     query: usize,
     shard: usize,
@@ -55,6 +57,7 @@
     node: usize,
     plan: GatherPlan,
     fetch_plan: FetchPlan,
+    /// The fetch of each shard, whether its part has arrived, and whether the shard is missing.
     shards: Vec<(Fetch, bool, bool)>,
     started_us: u64,
     is_over: bool,
@@ -67,7 +70,7 @@
     domain: usize,
 }
 
-/// The whole play.
+/// The state of a simulation.
 pub struct Simulation {
     workload: Workload,
     rng: StdRng,
@@ -81,29 +84,29 @@
     pub outcomes: Vec<Outcome>,
 }
 
-/// One way within a failure domain, in microseconds.
+/// The one-way delay within a failure domain, in microseconds.
 const SAME_DOMAIN_US: u64 = 100;
 
-/// By which part of a caller's round trip its answers come later on average: one in so many.
+/// The divisor of a caller's round trip that gives the mean additional delay of its answers.
 const ROUND_TRIP_JITTER_DIVISOR: f64 = 8.0;
 
-/// Time before the measured part: latencies are learned in it.
+/// The time before the measurement, in microseconds, in which the nodes learn latencies.
 const WARM_UP_US: u64 = 2_000_000;
 
-/// Plays a load; returns what callers of each kind got after the first two seconds.
-pub fn simulate(load: Workload) -> Vec<Outcome> {
-    let mut play = Simulation::new(load);
-    play.run();
-    play.outcomes
+/// Simulates a workload and returns the results of each query kind after the first two seconds.
+pub fn simulate(workload: Workload) -> Vec<Outcome> {
+    let mut simulation = Simulation::new(workload);
+    simulation.run();
+    simulation.outcomes
 }
 
 impl Simulation {
-    fn new(load: Workload) -> Self {
-        let mut rng = StdRng::seed_from_u64(load.seed);
+    fn new(workload: Workload) -> Self {
+        let mut rng = StdRng::seed_from_u64(workload.seed);
         let mut catalogue = Catalogue { version: 1, ..Catalogue::default() };
         let mut services = IndexMap::new();
         let mut replicas = Vec::new();
-        for shard in 0..load.shards {
+        for shard in 0..workload.shards {
             let service: EcoString = eco_format!("shard-{shard}");
             services.insert(
                 service.clone(),
@@ -114,8 +117,8 @@
                     warmup_per_s: None,
                 },
             );
-            for copy in 0..load.replicas_per_shard {
-                let id: EcoString = eco_format!("r{shard}-{copy}");
+            for replica_index in 0..workload.replicas_per_shard {
+                let id: EcoString = eco_format!("r{shard}-{replica_index}");
                 let entry = ReplicaEntry {
                     id: id.clone(),
                     born_ms: 1,
@@ -123,8 +126,8 @@
                     service: service.clone(),
                     version: "v1".into(),
                     address: "127.0.0.1:1".parse().unwrap(),
-                    failure_domain: eco_format!("domain-{copy}"),
-                    slots: load.slots as u32,
+                    failure_domain: eco_format!("domain-{replica_index}"),
+                    slots: workload.slots as u32,
                     is_draining: false,
                     cold_for_ms: 0,
                 };
@@ -134,28 +137,28 @@
                     id,
                     running: 0,
                     waiting: Vec::new(),
-                    fault: load.faults.get(&(shard, copy)).copied(),
-                    pause_phase_us: rng.random_range(0..load.pause_interval_us.max(1)),
+                    fault: workload.faults.get(&(shard, replica_index)).copied(),
+                    pause_phase_us: rng.random_range(0..workload.pause_interval_us.max(1)),
                 });
             }
         }
         catalogue.services = Arc::new(services);
         let policy = RetryBudgetPolicy { ratio: 0.2, fixed: 56.0, window_us: 10_000_000 };
-        let nodes = (0..load.nodes).map(|node| {
-            let domain = node % load.replicas_per_shard;
+        let nodes = (0..workload.nodes).map(|node| {
+            let domain = node % workload.replicas_per_shard;
             let settings = PoolSettings {
                 failure_domain: eco_format!("domain-{domain}"),
                 warmup_factor: 1.5,
                 warmup_slack: 5.0,
             };
             let mut pool = UpstreamPool::new(settings);
-            pool.update(0, &catalogue, load.nodes);
-            let times = load.query_kinds.iter().map(|_| RouteLatencies::default()).collect();
+            pool.update(0, &catalogue, workload.nodes);
+            let times = workload.query_kinds.iter().map(|_| RouteLatencies::default()).collect();
             Node { pool, budget: RetryBudget::new(policy, 0), times, domain }
         });
         let nodes = nodes.collect();
-        let outcomes = load.query_kinds.iter().map(|_| Outcome::default()).collect();
-        let mut play = Self {
+        let outcomes = workload.query_kinds.iter().map(|_| Outcome::default()).collect();
+        let mut simulation = Self {
             rng,
             now_us: 0,
             next_event_id: 0,
@@ -165,12 +168,12 @@
             queries: Vec::new(),
             nodes,
             outcomes,
-            workload: load,
+            workload,
         };
-        for kind in 0..play.workload.query_kinds.len() {
-            play.schedule_arrival(kind);
+        for kind in 0..simulation.workload.query_kinds.len() {
+            simulation.schedule_arrival(kind);
         }
-        play
+        simulation
     }
 
     fn run(&mut self) {
@@ -220,7 +223,9 @@
             min_parts: GatherPlan::min_parts(shards, spec.min_coverage),
             soft_deadline_us: match self.workload.caller_round_trip_us {
                 0 => self.now_us + spec.goal_us,
-                way_us => GatherPlan::soft_deadline_us(self.now_us, spec.goal_us, way_us, shards),
+                round_trip_us => {
+                    GatherPlan::soft_deadline_us(self.now_us, spec.goal_us, round_trip_us, shards)
+                }
             },
             end_us: self.now_us + spec.timeout_us,
         };
@@ -241,63 +246,64 @@
         self.advance_all(self.queries.len() - 1);
     }
 
-    /// Plans which shards the newest query asks.
+    /// Selects the shards that the newest query asks.
     fn select_shards(&mut self) {
         let query = self.queries.last_mut().unwrap();
         let pool = &mut self.nodes[query.node].pool;
         let expected_us = query.fetch_plan.expected_us;
         let services: Vec<EcoString> =
             query.shards.iter().map(|(fetch, _, _)| fetch.service().clone()).collect();
-        let prospects: Vec<_> = services
+        let forecasts: Vec<_> = services
             .iter()
             .map(|service| pool.forecast(service, self.now_us, expected_us))
             .collect();
-        let asks = select_shards(&prospects, query.plan.min_parts);
-        asks.skipped.into_iter().for_each(|shard| query.shards[shard].2 = true);
-        for shard in asks.reserved {
+        let selection = select_shards(&forecasts, query.plan.min_parts);
+        selection.skipped.into_iter().for_each(|shard| query.shards[shard].2 = true);
+        for shard in selection.reserved {
             pool.reserve_replicas(&services[shard], self.now_us);
         }
     }
 
-    fn is_measured(&self, query: usize) -> bool {
-        self.queries[query].started_us >= WARM_UP_US
+    fn is_measured(&self, query_index: usize) -> bool {
+        self.queries[query_index].started_us >= WARM_UP_US
     }
 
-    fn advance_all(&mut self, query: usize) {
-        if self.queries[query].is_over {
+    fn advance_all(&mut self, query_index: usize) {
+        if self.queries[query_index].is_over {
             return;
         }
         let mut wake_us = u64::MAX;
         for shard in 0..self.workload.shards {
-            wake_us = wake_us.min(self.advance(query, shard));
+            wake_us = wake_us.min(self.advance(query_index, shard));
         }
-        self.update_gather(query, wake_us);
+        self.update_gather(query_index, wake_us);
     }
 
-    /// Takes the next steps of one shard; returns when it wants another look.
-    fn advance(&mut self, at: usize, shard: usize) -> u64 {
+    /// Takes the next steps of one shard and returns the time of the next one.
+    fn advance(&mut self, query_index: usize, shard: usize) -> u64 {
         loop {
-            let query = &mut self.queries[at];
+            let query = &mut self.queries[query_index];
             let node = &mut self.nodes[query.node];
-            let (fetch, is_in, is_missing) = &mut query.shards[shard];
-            if *is_in || *is_missing {
+            let (fetch, is_received, is_missing) = &mut query.shards[shard];
+            if *is_received || *is_missing {
                 return u64::MAX;
             }
             match fetch.next(self.now_us, &query.fetch_plan, &mut node.pool, &mut node.budget) {
                 FetchStep::Send { replica, send, cause } => {
                     let domain = node.domain;
-                    let replica = self.replicas.iter().position(|one| one.id == replica).unwrap();
+                    let replica =
+                        self.replicas.iter().position(|candidate| candidate.id == replica).unwrap();
                     let is_near = replica % self.workload.replicas_per_shard == domain;
-                    let way_us =
+                    let one_way_us =
                         if is_near { SAME_DOMAIN_US } else { self.workload.cross_domain_us };
-                    if self.is_measured(at) {
-                        let outcome = &mut self.outcomes[self.queries[at].kind];
+                    if self.is_measured(query_index) {
+                        let outcome = &mut self.outcomes[self.queries[query_index].kind];
                         outcome.sends += 1;
                         let is_extra = cause != sassafrasproxy_core::SendCause::First;
                         outcome.extra_sends += usize::from(is_extra);
                     }
                     self.sends.push(SimulatedSend {
-                        query: at,
+                        query: query_index,
                         shard,
                         replica,
                         send,
@@ -305,7 +311,10 @@
                         end: None,
                         reported: None,
                     });
-                    self.schedule(self.now_us + way_us, Event::ReachReplica(self.sends.len() - 1));
+                    self.schedule(
+                        self.now_us + one_way_us,
+                        Event::ReachReplica(self.sends.len() - 1),
+                    );
                 }
                 FetchStep::Wait { until_us } => return until_us.unwrap_or(u64::MAX),
                 FetchStep::Failed(_) => {
@@ -316,60 +325,60 @@
         }
     }
 
-    fn reach_replica(&mut self, at: usize) {
-        let send = &self.sends[at];
+    fn reach_replica(&mut self, send_index: usize) {
+        let send = &self.sends[send_index];
         let replica = &mut self.replicas[send.replica];
         match replica.fault {
             Some(Fault::Down) => {
-                return self.send_answer(at, SendOutcome::Unreachable, SendResult::Unsent);
+                return self.send_answer(send_index, SendOutcome::Unreachable, SendResult::Unsent);
             }
             Some(Fault::Unresponsive) => {
                 let query = &self.queries[send.query];
                 let wait_us = query.plan.end_us.saturating_sub(self.now_us) + 50_000;
-                self.sends[at].end = Some((SendOutcome::TimedOut, SendResult::MayHaveRun));
-                return self.schedule(self.now_us + wait_us, Event::ReceiveAnswer(at));
+                self.sends[send_index].end = Some((SendOutcome::TimedOut, SendResult::MayHaveRun));
+                return self.schedule(self.now_us + wait_us, Event::ReceiveAnswer(send_index));
             }
             Some(Fault::Slow(_) | Fault::Resets(_)) | None => {}
         }
         if replica.running < self.workload.slots {
             replica.running += 1;
-            self.run_send(at);
+            self.run_send(send_index);
         } else if replica.waiting.len() < self.workload.queue_limit {
-            replica.waiting.push(at);
+            replica.waiting.push(send_index);
         } else {
-            self.send_answer(at, SendOutcome::Refused, SendResult::NotRun);
+            self.send_answer(send_index, SendOutcome::Refused, SendResult::NotRun);
         }
     }
 
-    fn run_send(&mut self, at: usize) {
-        let send = &self.sends[at];
+    fn run_send(&mut self, send_index: usize) {
+        let send = &self.sends[send_index];
         let kind = &self.workload.query_kinds[self.queries[send.query].kind];
         let replica = &self.replicas[send.replica];
         let phase_us = self.now_us + replica.pause_phase_us;
         let run_us = self.workload.draw_run_us(&mut self.rng, kind, replica.fault, phase_us);
-        self.schedule(self.now_us + run_us, Event::FinishRun(at));
+        self.schedule(self.now_us + run_us, Event::FinishRun(send_index));
     }
 
-    fn finish_run(&mut self, at: usize) {
-        let replica = &mut self.replicas[self.sends[at].replica];
+    fn finish_run(&mut self, send_index: usize) {
+        let replica = &mut self.replicas[self.sends[send_index].replica];
         replica.running -= 1;
         if !replica.waiting.is_empty() {
             let next = replica.waiting.remove(0);
             replica.running += 1;
             self.run_send(next);
         }
-        let resets = match self.replicas[self.sends[at].replica].fault {
-            Some(Fault::Resets(part)) => part,
+        let reset_fraction = match self.replicas[self.sends[send_index].replica].fault {
+            Some(Fault::Resets(fraction)) => fraction,
             Some(Fault::Slow(_) | Fault::Down | Fault::Unresponsive) | None => 0.0,
         };
-        if resets > 0.0 && self.rng.random_bool(resets) {
-            return self.send_answer(at, SendOutcome::Lost, SendResult::MayHaveRun);
+        if reset_fraction > 0.0 && self.rng.random_bool(reset_fraction) {
+            return self.send_answer(send_index, SendOutcome::Lost, SendResult::MayHaveRun);
         }
-        self.send_answer(at, SendOutcome::Answered, SendResult::Answered);
+        self.send_answer(send_index, SendOutcome::Answered, SendResult::Answered);
     }
 
-    fn send_answer(&mut self, at: usize, outcome: SendOutcome, result: SendResult) {
-        let send = &mut self.sends[at];
+    fn send_answer(&mut self, send_index: usize, outcome: SendOutcome, result: SendResult) {
+        let send = &mut self.sends[send_index];
         let replica = &self.replicas[send.replica];
         send.end = Some((outcome, result));
         if !matches!(outcome, SendOutcome::Unreachable | SendOutcome::Lost) {
@@ -377,22 +386,22 @@
         }
         let is_near = send.replica % self.workload.replicas_per_shard
             == self.nodes[self.queries[send.query].node].domain;
-        let way_us = if is_near { SAME_DOMAIN_US } else { self.workload.cross_domain_us };
-        self.schedule(self.now_us + way_us, Event::ReceiveAnswer(at));
+        let one_way_us = if is_near { SAME_DOMAIN_US } else { self.workload.cross_domain_us };
+        self.schedule(self.now_us + one_way_us, Event::ReceiveAnswer(send_index));
     }
 
-    fn receive_answer(&mut self, at: usize) {
-        let send = &self.sends[at];
+    fn receive_answer(&mut self, send_index: usize) {
+        let send = &self.sends[send_index];
         let (outcome, result) = send.end.unwrap();
-        let (query_at, shard) = (send.query, send.shard);
-        let (kind, node) = (self.queries[query_at].kind, self.queries[query_at].node);
+        let (query_index, shard) = (send.query, send.shard);
+        let (kind, node) = (self.queries[query_index].kind, self.queries[query_index].node);
         let id = self.replicas[send.replica].id.clone();
         let node = &mut self.nodes[node];
         node.pool.finish_send(&id, send.send, self.now_us, outcome, send.reported);
         if outcome == SendOutcome::Answered {
             node.times[kind].record(self.now_us - send.sent_us);
         }
-        let query = &mut self.queries[query_at];
+        let query = &mut self.queries[query_index];
         query.shards[shard].0.record_result(result);
         if query.is_over {
             return;
@@ -400,36 +409,37 @@
         if result == SendResult::Answered {
             query.shards[shard].1 = true;
         }
-        let wake_us = self.advance(query_at, shard);
-        self.update_gather(query_at, wake_us);
+        let wake_us = self.advance(query_index, shard);
+        self.update_gather(query_index, wake_us);
     }
 
-    fn update_gather(&mut self, at: usize, wake_us: u64) {
-        let query = &mut self.queries[at];
-        let parts = query.shards.iter().filter(|(_, is_in, _)| *is_in).count();
+    fn update_gather(&mut self, query_index: usize, wake_us: u64) {
+        let query = &mut self.queries[query_index];
+        let parts = query.shards.iter().filter(|(_, is_received, _)| *is_received).count();
         let missing = query.shards.iter().filter(|(_, _, is_missing)| *is_missing).count();
         let pending = query.shards.len() - parts - missing;
         match next_gather_step(self.now_us, &query.plan, parts, pending) {
             GatherStep::Wait { until_us } => {
                 let wake_us = wake_us.min(until_us).max(self.now_us + 1);
-                self.schedule(wake_us, Event::Wake(at));
+                self.schedule(wake_us, Event::Wake(query_index));
             }
             GatherStep::Answer => {
                 query.is_over = true;
                 let coverage = parts as f64 / query.shards.len() as f64;
                 let kind = query.kind;
-                let is_in_goal = match self.workload.caller_round_trip_us {
+                let is_within_goal = match self.workload.caller_round_trip_us {
                     0 => self.now_us <= query.plan.soft_deadline_us + 1_000,
-                    way_us => {
-                        // Half of the way is gone, and an answer's way takes longer now and then.
-                        let late: f64 =
+                    round_trip_us => {
+                        // Half of the round trip elapsed before the query arrived, and the way of
+                        // the answer takes longer at times.
+                        let extra_fraction: f64 =
                             Exp::new(ROUND_TRIP_JITTER_DIVISOR).unwrap().sample(&mut self.rng);
-                        let way_us = (way_us as f64 * (1.0 + late)) as u64;
-                        self.now_us + way_us
+                        let round_trip_us = (round_trip_us as f64 * (1.0 + extra_fraction)) as u64;
+                        self.now_us + round_trip_us
                             <= query.started_us + self.workload.query_kinds[kind].goal_us
                     }
                 };
-                if self.is_measured(at) && is_in_goal {
+                if self.is_measured(query_index) && is_within_goal {
                     self.outcomes[kind].in_goal += 1;
                     self.outcomes[kind].score += coverage * coverage;
                 }
@@ -437,7 +447,7 @@
             GatherStep::GiveUp => {
                 query.is_over = true;
                 let kind = query.kind;
-                if self.is_measured(at) {
+                if self.is_measured(query_index) {
                     self.outcomes[kind].failed += 1;
                 }
             }
--- a/crates/sassafrasproxy-core/tests/shards/workload.rs
+++ b/crates/sassafrasproxy-core/tests/shards/workload.rs
@@ -1,4 +1,4 @@
-//! What is played: a load, what is wrong with its replicas, and what callers got.
+//! The input of a simulation (workload and faults) and its result.
 
 use std::collections::BTreeMap;
 
@@ -6,36 +6,38 @@
 use rand::rngs::StdRng;
 use rand_distr::{Distribution, LogNormal};
 
-/// What is played.
+/// A workload to simulate.
 #[derive(Debug, Clone)]
 pub struct Workload {
     pub seed: u64,
     pub nodes: usize,
     pub shards: usize,
-    /// Replicas of each shard, in failure domains by turn.
+    /// Replicas of each shard, each in another failure domain.
     pub replicas_per_shard: usize,
     pub slots: usize,
-    /// How many requests wait at a replica before it sheds.
+    /// The maximum number of requests that wait at a replica; it refuses further ones.
     pub queue_limit: usize,
     pub query_kinds: Vec<QueryKind>,
     pub seconds: u64,
-    /// How often, and for how long, each replica stands still, in microseconds.
+    /// The interval between the starts of a replica's pauses, in microseconds; 0 for no pauses.
     pub pause_interval_us: u64,
+    /// The length of a pause, in microseconds.
     pub pause_us: u64,
-    /// One way between failure domains, in microseconds.
+    /// The one-way delay between failure domains, in microseconds.
     pub cross_domain_us: u64,
-    /// The round trip between callers and nodes, in microseconds; the goals of the kinds are theirs.
+    /// The round trip between callers and nodes, in microseconds; latency goals count from when a
+    /// caller sends its query until it receives the answer.
     ///
-    /// With 0, the goals are what is left of them at the nodes.
+    /// With 0, latency goals count from the query's arrival at a node until the node answers.
     pub caller_round_trip_us: u64,
-    /// What is wrong with replicas, by shard and copy.
+    /// The faults of replicas, by shard and index of the replica within the shard.
     pub faults: BTreeMap<(usize, usize), Fault>,
 }
 
 /// A kind of query.
 #[derive(Debug, Clone)]
 pub struct QueryKind {
-    /// Queries a second over all nodes.
+    /// Queries per second over all nodes.
     pub per_s: f64,
     /// The mean work of a part, in microseconds.
     pub work_us: f64,
@@ -44,25 +46,25 @@
     pub min_coverage: f64,
 }
 
-/// What is wrong with a replica.
+/// A fault of a replica.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum Fault {
-    /// Its work takes so many times as long.
+    /// Its requests take this many times as long.
     Slow(f64),
     /// It refuses connections.
     Down,
-    /// It takes requests and never answers.
+    /// It accepts requests and never answers.
     Unresponsive,
-    /// It runs requests, and resets the connections of this part of them instead of answering.
+    /// It runs requests, and resets the connections of this fraction of them instead of answering.
     Resets(f64),
 }
 
-/// What callers of one kind got.
+/// The results of the queries of one kind.
 #[derive(Debug, Clone, Default)]
 pub struct Outcome {
     pub queries: usize,
     pub in_goal: usize,
-    /// The credit in the goal: the square of the coverage, summed.
+    /// The sum of the squared coverages of the answers within the latency goal.
     pub score: f64,
     pub failed: usize,
     /// Sends beyond the first of each part.
@@ -71,15 +73,15 @@
 }
 
 impl Outcome {
-    /// The credit earned over the credit owed.
+    /// Returns the mean score of a query, in 0 to 1.
     pub fn mean_score(&self) -> f64 {
         self.score / self.queries.max(1) as f64
     }
 }
 
 impl Workload {
-    /// How long a replica takes for one part, its pauses included; `phase_us` is the time since one
-    /// of its pauses began.
+    /// Draws the time that a replica takes for one part, including its pauses, in microseconds;
+    /// `phase_us` is the time since one of its pauses began.
     pub fn draw_run_us(
         &self,
         rng: &mut StdRng,
@@ -87,14 +89,14 @@
         fault: Option<Fault>,
         phase_us: u64,
     ) -> u64 {
-        let slow = match fault {
-            Some(Fault::Slow(times)) => times,
+        let slowdown = match fault {
+            Some(Fault::Slow(factor)) => factor,
             _ => 1.0,
         };
         let sigma: f64 = 0.35;
         let work = LogNormal::new(kind.work_us.ln() - sigma * sigma / 2.0, sigma).unwrap();
-        let tail = if rng.random_bool(0.01) { 5.0 } else { 1.0 };
-        let work_us = (work.sample(rng) * slow * tail) as u64;
+        let straggler_factor = if rng.random_bool(0.01) { 5.0 } else { 1.0 };
+        let work_us = (work.sample(rng) * slowdown * straggler_factor) as u64;
         if self.pause_interval_us == 0 {
             return work_us;
         }
@@ -102,12 +104,12 @@
         if phase_us < self.pause_us {
             return self.pause_us - phase_us + work_us;
         }
-        let is_paused = self.pause_interval_us - phase_us < work_us;
-        work_us + if is_paused { self.pause_us } else { 0 }
+        let is_interrupted = self.pause_interval_us - phase_us < work_us;
+        work_us + if is_interrupted { self.pause_us } else { 0 }
     }
 }
 
-/// The users' load of today on one index: 20 shards of two replicas with two slots.
+/// Returns the users' workload on one index: 20 shards with two replicas of two slots each.
 pub fn default_workload(seed: u64) -> Workload {
     Workload {
         seed,
