--- a/crates/sassafrasproxy-core/src/forward/rollout/coordinator.rs
+++ b/crates/sassafrasproxy-core/src/forward/rollout/coordinator.rs
@@ -1,4 +1,4 @@
-//! When a roll-out goes on, ends or is rolled back.
+//! Decides when a rollout starts its trial, is promoted, is completed or is rolled back.
 
 use ecow::EcoString;
 use indexmap::IndexMap;
@@ -8,50 +8,57 @@
 use super::trial_analysis::{TrialAnalysis, TrialVerdict};
 use crate::{US_PER_MS, hash_name};
 
-/// How many nodes send to a version on trial at the most.
+/// The maximum number of nodes that send requests to a version on trial.
 const MAX_CANARIES: usize = 16;
 
-/// The part of the period by which a good version should be completed.
+/// The fraction of the period by which the rollout of a good version should be completed.
 const COMPLETION_FRACTION: f64 = 0.77;
 
-/// How long the writes of the last two steps may take, in microseconds.
+/// The time reserved for writing the records of the last two steps, in microseconds.
 const WRITE_SLACK_US: u64 = 1_000_000;
 
-/// How fresh the reports of all canaries must be to promote, in microseconds.
+/// The maximum age of each canary's last report when a version is promoted, in microseconds.
 const MAX_REPORT_AGE_US: u64 = 2_500_000;
 
-/// How long a step is left to each node that decides before the next, in microseconds.
+/// The delay per rank before a node takes a step that the coordinators ranked before it have not
+/// taken, in microseconds.
 const RANK_DELAY_US: u64 = 700_000;
 
-/// The pause before a write that had no visible effect is made again, in microseconds.
+/// The delay before a write that had no visible effect is retried, in microseconds.
 const WRITE_RETRY_US: u64 = 500_000;
 
-/// What the operators allow a bad version, and how a trial uses it.
+/// The exposure that the operators allow for a bad version, and how a trial uses it.
+///
+/// Exposure is the number of requests that the version gets.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct RolloutPolicy {
-    /// The part of all requests to the service that a bad version may get.
+    /// The fraction of all requests to the service that a bad version may get.
     pub exposure_share: f64,
-    /// How many requests it may get besides.
+    /// The number of requests that it may get in addition to that fraction.
     pub exposure_slack: f64,
-    /// The part of the fixed exposure that is granted as permits.
+    /// The fraction of `exposure_slack` that is granted to the canaries as permits.
     ///
-    /// The rest is for sends of a promoted version that turns out bad before it is completed.
+    /// The rest is reserved for a promoted version that turns out bad before it is completed.
     pub permit_fraction: f64,
-    /// The part of the exposure by share that canaries may use, for the same reason.
+    /// The fraction of `exposure_share` that the canaries may use; the rest is reserved for the same
+    /// case.
     pub canary_share_fraction: f64,
-    /// The part of the period after which a version that nothing speaks against is promoted.
+    /// The fraction of the period after which a version without evidence against it is promoted.
     ///
-    /// As late as the period allows: a version may turn bad only after a while.
+    /// As late as the period allows, because a version may turn bad only after some time.
     pub trial_fraction: f64,
-    /// Over how many times the usual trial permits are spread, so that a longer one has some, too.
+    /// The time over which permits are spread, as a multiple of the usual length of a trial, so that
+    /// a trial that lasts longer still has permits.
     pub permit_spread_factor: f64,
-    /// How long after its promotion a version is completed, in microseconds: by then all nodes have
-    /// heard of it, and their last requests to the old version have ended.
+    /// The time from the promotion of a version to its completion, in microseconds.
+    ///
+    /// By then all nodes have received the promotion, and their last requests to the old version
+    /// have ended.
     pub settle_us: u64,
 }
 
 impl RolloutPolicy {
-    /// The usual use of what the operators allow.
+    /// Returns the default policy for the exposure that the operators allow.
     pub fn new(exposure_share: f64, exposure_slack: f64) -> Self {
         Self {
             exposure_share,
@@ -64,12 +71,15 @@
         }
     }
 
-    /// How long a trial may last if something speaks against the version, in microseconds.
+    /// Returns how long a trial may last at most, in microseconds from the order.
+    ///
+    /// A trial lasts that long only if there is evidence against the version.
     fn max_trial_us(&self, order: &RolloutOrder) -> u64 {
         (order.period_ms * US_PER_MS).saturating_sub(self.settle_us + WRITE_SLACK_US)
     }
 
-    /// How long a trial lasts, in microseconds from the order.
+    /// Returns how long a trial lasts if there is no evidence against the version, in microseconds
+    /// from the order.
     fn trial_us(&self, order: &RolloutOrder) -> u64 {
         let period_us = order.period_ms * US_PER_MS;
         let end_us = (period_us as f64 * COMPLETION_FRACTION) as u64;
@@ -78,89 +88,90 @@
     }
 }
 
-/// What is known of one service's roll-out.
+/// The state of one service's rollout, as this node knows it.
 #[derive(Debug, Clone, PartialEq)]
 pub struct RolloutState {
     /// The service.
     pub service: EcoString,
-    /// The order, with its revision in the store; `None` if there is none any more.
+    /// The order, with its revision in the store; `None` if the store holds none.
     pub order: Option<(RolloutOrder, u64)>,
     /// The newest record, with its revision in the store.
     pub record: Option<(RolloutRecord, u64)>,
-    /// The version that is in use.
+    /// The version that is in use; `None` while no replica may be used.
     pub in_use: Option<EcoString>,
-    /// The open replicas of each version.
+    /// The replicas of each version that are eligible for requests.
     pub versions: IndexMap<EcoString, VersionReplicas>,
     /// Whether the configuration or any replica names the service.
     pub is_known: bool,
-    /// Whether the roll-out was stopped on all nodes before the record says so.
+    /// Whether a node announced that the rollout is stopped, which may precede the record.
     pub is_stopped: bool,
 }
 
-/// The open replicas of one version.
+/// The eligible replicas of one version.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct VersionReplicas {
-    /// How many there are.
+    /// The number of replicas.
     pub count: u32,
-    /// How many requests they run at once, together.
+    /// The number of requests that they run concurrently, in total.
     pub slots: u32,
 }
 
-/// What the decider asks its shell to do.
+/// A side effect that the coordinator asks its caller to perform.
 #[derive(Debug, Clone, PartialEq)]
 pub enum RolloutEffect {
-    /// Write a record, if the one in the store still has the revision; 0 for none.
+    /// Write a record if the one in the store still has the expected revision.
     Write {
         /// The record.
         record: RolloutRecord,
-        /// The revision.
+        /// The revision that the stored record must have; 0 if there must be none.
         expected_revision: u64,
     },
-    /// Tell all nodes at once to leave the version on trial.
+    /// Tell all nodes immediately to stop using the version on trial.
     Stop {
         /// The store's revision of the order.
         order_revision: u64,
     },
 }
 
-/// What the decider found that is worth a log line.
+/// An event of the coordinator that is to be logged.
 #[derive(Debug, Clone, PartialEq)]
 pub enum RolloutLogEvent {
-    /// An order names a service that nobody knows.
+    /// An order names a service that neither the configuration nor any replica names.
     UnknownService {
         /// The service.
         service: EcoString,
     },
-    /// A record is about to be written.
+    /// A record with a new phase is about to be written.
     PhaseChange {
         /// The service.
         service: EcoString,
         /// The version to move to.
         target_version: EcoString,
-        /// How far the roll-out comes.
+        /// The new phase.
         phase: RolloutPhase,
-        /// How much of the period is over, in milliseconds.
+        /// The elapsed part of the period, in milliseconds.
         elapsed_ms: u64,
-        /// Ended sends to the version.
+        /// The number of attempts on the version that have ended.
         ended: u64,
-        /// Those that failed or were slow.
+        /// The number of these that failed or were slow.
         bad: u64,
-        /// The evidence against the version, as the logarithm of the odds.
+        /// The evidence against the version, as a log-likelihood ratio.
         score: f64,
     },
 }
 
-/// Decides on all roll-outs; every node has one, and that of one node acts.
+/// Takes the steps of all rollouts.
 ///
-/// Two that act at once cannot contradict each other: each step is written on the condition that
-/// the record is the one that the step follows.
+/// Every node has one, but normally only that of a single node acts. If two act at the same time,
+/// they cannot contradict each other: each step is a conditional write that succeeds only if the
+/// stored record is the one that the step follows.
 #[derive(Debug, Default)]
 pub struct RolloutCoordinator {
     services: IndexMap<EcoString, ObservedRollout>,
     log_events: Vec<RolloutLogEvent>,
 }
 
-/// One service's roll-out, as this node has seen it.
+/// One service's rollout, as this node has observed it.
 #[derive(Debug)]
 struct ObservedRollout {
     order_revision: u64,
@@ -168,25 +179,27 @@
     record_revision: u64,
     record_seen_us: u64,
     analysis: TrialAnalysis,
-    /// When each canary's last report came.
+    /// The time at which each canary's last report arrived, in microseconds.
     last_report_us: IndexMap<EcoString, u64>,
-    /// What is to be done, and since when.
+    /// The step to take next, and the time since which it is pending, in microseconds.
     pending_step: (NextStep, u64),
     next_write_us: u64,
     is_unknown_reported: bool,
 }
 
-/// What the decider needs to know of the nodes.
+/// The nodes, as far as the coordinator needs to know them.
 #[derive(Debug, Clone, Default)]
 pub struct RolloutNodes {
-    /// The nodes that are alive and that callers are sent to.
+    /// The nodes that are alive and that callers are sent to (ingress nodes).
     pub ingress_nodes: Vec<EcoString>,
-    /// This node's place among the few that may decide; the first decides, and each other one only
-    /// what those before it leave undone.
+    /// This node's rank among the few nodes that may act as coordinator; `None` if it may not.
+    ///
+    /// The first one takes each step; the others take only the steps that those ranked before them
+    /// have not taken.
     pub rank: Option<usize>,
 }
 
-/// What follows for one service.
+/// The next step of one service's rollout.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum NextStep {
     Nothing,
@@ -195,16 +208,16 @@
 }
 
 impl RolloutCoordinator {
-    /// Takes a report of a canary in.
+    /// Adds a canary's report.
     pub fn add_report(&mut self, now_us: u64, node: &EcoString, report: &TrialReport) {
-        let of_order =
-            |watched: &&mut ObservedRollout| watched.order_revision == report.order_revision;
-        let Some(watched) = self.services.values_mut().find(of_order) else { return };
-        watched.analysis.add_report(node, report);
-        watched.last_report_us.insert(node.clone(), now_us);
+        let is_reported =
+            |observed: &&mut ObservedRollout| observed.order_revision == report.order_revision;
+        let Some(observed) = self.services.values_mut().find(is_reported) else { return };
+        observed.analysis.add_report(node, report);
+        observed.last_report_us.insert(node.clone(), now_us);
     }
 
-    /// Looks at all roll-outs, and returns what to do.
+    /// Advances all rollouts, and returns the effects to perform.
     pub fn step(
         &mut self,
         now_us: u64,
@@ -215,12 +228,12 @@
         self.services.retain(|service, _| states.iter().any(|state| state.service == *service));
         let mut effects = Vec::new();
         for state in states {
-            let watched = self.observe(now_us, state);
-            let next = watched.next_step(now_us, state, nodes, policy);
-            if watched.pending_step.0 != next {
-                watched.pending_step = (next, now_us);
+            let observed = self.observe(now_us, state);
+            let next = observed.next_step(now_us, state, nodes, policy);
+            if observed.pending_step.0 != next {
+                observed.pending_step = (next, now_us);
             }
-            let due_us = watched.pending_step.1.max(watched.next_write_us);
+            let due_us = observed.pending_step.1.max(observed.next_write_us);
             let turn_us = nodes.rank.map(|rank| due_us + rank as u64 * RANK_DELAY_US);
             if turn_us.is_some_and(|turn_us| now_us >= turn_us) {
                 effects.extend(self.perform_step(now_us, state, nodes, policy, next));
@@ -229,28 +242,28 @@
         effects
     }
 
-    /// The notes since the last call.
+    /// Returns and clears the log events since the last call.
     pub fn take_log_events(&mut self) -> Vec<RolloutLogEvent> {
         std::mem::take(&mut self.log_events)
     }
 
-    /// Notes what is new of a service, with when it was seen.
+    /// Records new revisions of a service's order and record with the time at which they were seen.
     fn observe(&mut self, now_us: u64, state: &RolloutState) -> &mut ObservedRollout {
         let order_revision = state.running_order_revision();
-        let watched = self
+        let observed = self
             .services
             .entry(state.service.clone())
             .or_insert_with(|| ObservedRollout::new(order_revision, now_us));
-        if order_revision > watched.order_revision {
-            *watched = ObservedRollout::new(order_revision, now_us);
+        if order_revision > observed.order_revision {
+            *observed = ObservedRollout::new(order_revision, now_us);
         }
         let record_revision = state.record.as_ref().map_or(0, |(_, revision)| *revision);
-        if record_revision > watched.record_revision {
-            watched.record_revision = record_revision;
-            watched.record_seen_us = now_us;
-            watched.next_write_us = now_us;
+        if record_revision > observed.record_revision {
+            observed.record_revision = record_revision;
+            observed.record_seen_us = now_us;
+            observed.next_write_us = now_us;
         }
-        watched
+        observed
     }
 
     fn perform_step(
@@ -261,11 +274,11 @@
         policy: &RolloutPolicy,
         next: NextStep,
     ) -> Vec<RolloutEffect> {
-        let watched = &mut self.services[&state.service];
+        let observed = &mut self.services[&state.service];
         let phase = match next {
             NextStep::Nothing => {
                 let is_unknown = state.order.is_some() && !state.is_known;
-                if is_unknown && !std::mem::replace(&mut watched.is_unknown_reported, true) {
+                if is_unknown && !std::mem::replace(&mut observed.is_unknown_reported, true) {
                     let service = state.service.clone();
                     self.log_events.push(RolloutLogEvent::UnknownService { service });
                 }
@@ -275,19 +288,19 @@
             NextStep::StopAndRollBack => RolloutPhase::RolledBack,
         };
         let Some(record) =
-            state.record_for_phase(phase, nodes, policy, watched.elapsed_us(now_us, state))
+            state.record_for_phase(phase, nodes, policy, observed.elapsed_us(now_us, state))
         else {
             return Vec::new();
         };
-        watched.next_write_us = now_us + WRITE_RETRY_US;
+        observed.next_write_us = now_us + WRITE_RETRY_US;
         self.log_events.push(RolloutLogEvent::PhaseChange {
             service: record.service.clone(),
             target_version: record.target_version.clone(),
             phase,
             elapsed_ms: record.elapsed_ms,
-            ended: watched.analysis.ended(),
-            bad: watched.analysis.bad(),
-            score: watched.analysis.score(state.replicas(&record.target_version).count),
+            ended: observed.analysis.ended(),
+            bad: observed.analysis.bad(),
+            score: observed.analysis.score(state.replicas(&record.target_version).count),
         });
         let mut effects = Vec::new();
         if matches!(next, NextStep::StopAndRollBack) {
@@ -314,7 +327,9 @@
         }
     }
 
-    /// How much of the period is over, in microseconds, as far as this node and the record tell.
+    /// Returns the elapsed part of the period, in microseconds.
+    ///
+    /// The greater of the time since this node saw the order and the time that the record tells.
     fn elapsed_us(&self, now_us: u64, state: &RolloutState) -> u64 {
         let seen_us = now_us.saturating_sub(self.order_seen_us);
         let Some(record) = state.running_record() else { return seen_us };
@@ -368,22 +383,22 @@
         }
     }
 
-    /// Whether all canaries that are alive have reported lately.
+    /// Whether each canary that is alive has reported within `MAX_REPORT_AGE_US`.
     ///
-    /// Guards against promoting a version of whose failures the reports did not come.
+    /// Prevents the promotion of a version whose failures were counted in reports that were lost.
     fn has_fresh_reports(&self, now_us: u64, record: &RolloutRecord, nodes: &RolloutNodes) -> bool {
         let mut alive =
             record.canaries.iter().filter(|canary| nodes.ingress_nodes.contains(canary));
         alive.all(|canary| {
             self.last_report_us
                 .get(canary)
-                .is_some_and(|heard_us| now_us < heard_us + MAX_REPORT_AGE_US)
+                .is_some_and(|reported_us| now_us < reported_us + MAX_REPORT_AGE_US)
         })
     }
 }
 
 impl RolloutState {
-    /// Whether anything is left to decide.
+    /// Whether the rollout has steps left.
     pub fn is_running(&self) -> bool {
         match self.running_record() {
             Some(record) => !record.phase.is_final(),
@@ -391,15 +406,16 @@
         }
     }
 
-    /// The record of the order that is in force, if there is one.
+    /// Returns the record of the order that is in force, if there is one.
     pub fn running_record(&self) -> Option<&RolloutRecord> {
         let (record, _) = self.record.as_ref()?;
         let Some((order, revision)) = &self.order else { return Some(record) };
-        let is_same = record.target_version == order.target_version && !record.phase.is_final();
-        (record.order_revision == *revision || is_same).then_some(record)
+        let is_same_target =
+            record.target_version == order.target_version && !record.phase.is_final();
+        (record.order_revision == *revision || is_same_target).then_some(record)
     }
 
-    /// The revision of the order that is in force.
+    /// Returns the revision of the order that is in force; 0 if there is none.
     fn running_order_revision(&self) -> u64 {
         let of_record = self.running_record().map(|record| record.order_revision);
         let of_order = self.order.as_ref().map(|(_, revision)| *revision);
@@ -419,7 +435,7 @@
         }
     }
 
-    /// Whether the new version's replicas bear what the old one's do, or nearly.
+    /// Whether the target version's replicas have at least half of the slots of the base version's.
     fn has_enough_slots(&self, record: &RolloutRecord) -> bool {
         let target = self.replicas(&record.target_version).slots;
         target > 0 && 2 * target >= self.replicas(&record.base_version).slots
@@ -429,7 +445,8 @@
         self.versions.get(version).copied().unwrap_or_default()
     }
 
-    /// The record for a phase; `None` if there is nothing that it could follow.
+    /// Returns the record for a phase; `None` if there is neither a record nor an order with a
+    /// version in use that it could follow.
     fn record_for_phase(
         &self,
         phase: RolloutPhase,
@@ -460,13 +477,14 @@
     }
 }
 
-/// The nodes that send to a version on trial; few, however many nodes there are.
-fn choose_canaries(service: &str, senders: &[EcoString]) -> Vec<EcoString> {
-    let mut ranked = senders.to_vec();
+/// Returns the nodes that send requests to a version on trial, at most `MAX_CANARIES`.
+fn choose_canaries(service: &str, ingress_nodes: &[EcoString]) -> Vec<EcoString> {
+    let mut ranked = ingress_nodes.to_vec();
     ranked.sort_by_cached_key(|node| (hash_name(service) ^ hash_name(node)).wrapping_mul(RANK_MIX));
     ranked.truncate(MAX_CANARIES);
     ranked
 }
 
-/// Spreads the combined hash of service and node, so that services rank the nodes differently.
+/// The multiplier that mixes the combined hash of service and node, so that each service ranks the
+/// nodes differently.
 const RANK_MIX: u64 = 0x9e37_79b9_7f4a_7c15;
--- a/crates/sassafrasproxy-core/src/forward/rollout/trial_analysis.rs
+++ b/crates/sassafrasproxy-core/src/forward/rollout/trial_analysis.rs
@@ -1,73 +1,79 @@
-//! Whether a version on trial is worse than the one in use.
+//! Tests whether a version on trial is worse than the version in use.
 
 use indexmap::IndexMap;
 
 use super::trial::{RouteClass, TrialCount, TrialReport};
 
-/// How strong the evidence against a version must be to roll it back, as the logarithm of the odds.
+/// The score from which a version is rolled back, as a log-likelihood ratio.
 const BAD_SCORE: f64 = 5.5;
 
-/// How strong it must be when no time is left to see more: what is in doubt is not promoted.
+/// The score from which a version is rolled back when no time is left to observe it further: a
+/// doubtful version is not promoted.
 const DOUBTFUL_SCORE: f64 = 3.5;
 
-/// How weak it must be for a version to be promoted before that.
+/// The score below which a version may be promoted before the time is up.
 const SUSPICIOUS_SCORE: f64 = 2.0;
 
-/// Which part of the evidence must come from other replicas than the worst, where there are others.
+/// The fraction of the evidence that must come from other replicas than the worst one, if there are
+/// others.
 const MIN_OTHER_REPLICAS_FRACTION: f64 = 0.25;
 
-/// By how much a bad version fails more often, at least.
+/// The minimum increase of the failure rate in a bad version.
 const MIN_FAILURE_RATE_INCREASE: f64 = 0.2;
 
-/// By how much a bad version is slow more often, at least.
+/// The minimum increase of the rate of slow answers in a bad version.
 const MIN_SLOW_RATE_INCREASE: f64 = 0.6;
 
-/// The least rates of failed and slow answers that count as usual.
+/// The lowest baseline rate of failed attempts that the test assumes.
 const MIN_FAILURE_RATE: f64 = 0.02;
+
+/// The lowest baseline rate of slow answers that the test assumes.
 const MIN_SLOW_RATE: f64 = 0.05;
 
-/// So many ended sends weigh as much as the least rates, while few of the version in use are known.
-const PRIOR_SENDS: f64 = 20.0;
+/// The number of ended attempts whose weight the lowest rates have in the baseline, so that the
+/// baseline is stable while few attempts on the version in use have ended.
+const PRIOR_ATTEMPTS: f64 = 20.0;
 
-/// The highest rate that the test reckons with.
+/// The highest rate that the test assumes, so that its logarithms stay finite.
 const MAX_RATE: f64 = 0.98;
 
-/// What the counts say of a version on trial.
+/// The verdict on a version on trial.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum TrialVerdict {
-    /// Nothing speaks against it.
+    /// There is no relevant evidence against it.
     Good,
-    /// Something speaks against it; more should be seen.
+    /// There is some evidence against it; it should be observed for longer.
     Suspicious,
-    /// Too much speaks against it to promote it.
+    /// There is too much evidence against it to promote it.
     Doubtful,
-    /// It is bad.
+    /// It is bad and must be rolled back.
     Bad,
 }
 
-/// Compares a version on trial with the one in use, by reports of some nodes.
+/// Compares a version on trial with the version in use by the reports of the canaries.
 ///
-/// A cumulative sum test (Page, Biometrika 1954) for each class of routes and for all together: each
-/// send to the version on trial adds the logarithm of how much likelier its end is if the version is
-/// bad, where the version in use tells what is usual at the same time. A sum never falls below 0,
-/// so a version that turns bad late is found as soon as one that is bad at once.
+/// Runs a cumulative sum test (Page, Biometrika 1954) for each class of routes and for all routes
+/// together. The outcome of each attempt on the version on trial adds the logarithm of how much
+/// likelier the outcome is if the version is bad; the baseline is the version in use at the same
+/// time. A sum never falls below 0, so that a version that turns bad late is detected as fast as one
+/// that is bad from the start.
 #[derive(Debug, Clone, Default)]
 pub struct TrialAnalysis {
     reports: IndexMap<String, TrialReport>,
     baseline: BaselineCounts,
-    all: Evidence,
+    all_routes: Evidence,
     by_route_class: IndexMap<RouteClass, Evidence>,
     ended: u64,
 }
 
-/// The evidence of some sends, as a whole and by class of replicas.
+/// The evidence of a set of attempts, in total and by class of replicas.
 #[derive(Debug, Clone, Default)]
 struct Evidence {
     overall: CusumScore,
     by_replica_class: IndexMap<u8, CusumScore>,
 }
 
-/// What ended in the version in use.
+/// The attempts on the version in use that have ended.
 #[derive(Debug, Clone, Copy, Default)]
 struct BaselineCounts {
     ended: f64,
@@ -75,7 +81,7 @@
     slow: f64,
 }
 
-/// The evidence of one class, never below 0.
+/// The cumulative sums for failed and for slow attempts; never below 0.
 #[derive(Debug, Clone, Copy, Default)]
 struct CusumScore {
     failed: f64,
@@ -83,16 +89,19 @@
 }
 
 impl TrialAnalysis {
-    /// Takes a node's report in.
+    /// Adds a node's report.
+    ///
+    /// A report replaces the earlier ones of its node, so only its increase is counted.
     pub fn add_report(&mut self, node: &str, report: &TrialReport) {
-        let before = self.reports.get(node).map_or_else(Vec::new, |known| known.counts.clone());
+        let before = self.reports.get(node).map_or_else(Vec::new, |earlier| earlier.counts.clone());
         if total_ended(&report.counts) < total_ended(&before) {
-            // An older report that came late, or one of a later life of the node, which counts anew.
+            // Either an older report that arrived late, or a report of a later incarnation of the
+            // node, whose counts start again at 0.
             return;
         }
         self.reports.insert(node.into(), report.clone());
-        let news = report.counts.iter().map(|count| count_increase(count, &before));
-        let (on_trial, in_use): (Vec<_>, Vec<_>) = news.partition(|count| count.is_on_trial);
+        let increases = report.counts.iter().map(|count| count_increase(count, &before));
+        let (on_trial, in_use): (Vec<_>, Vec<_>) = increases.partition(|count| count.is_on_trial);
         for count in in_use {
             self.baseline.ended += f64::from(count.ended);
             self.baseline.failed += f64::from(count.failed);
@@ -103,26 +112,27 @@
         }
     }
 
-    /// How many sends to the version on trial have ended.
+    /// Returns the number of attempts on the version on trial that have ended.
     pub fn ended(&self) -> u64 {
         self.ended
     }
 
-    /// How many of these failed or were slow, by the reports.
+    /// Returns the number of these that failed or were slow, according to the latest reports.
     pub fn bad(&self) -> u64 {
         let counts = self.reports.values().flat_map(|report| &report.counts);
-        let bad = counts.filter(|count| count.is_on_trial);
-        bad.map(|count| u64::from(count.failed + count.slow)).sum()
+        let on_trial = counts.filter(|count| count.is_on_trial);
+        on_trial.map(|count| u64::from(count.failed + count.slow)).sum()
     }
 
-    /// The strongest evidence against a version that so many replicas have, as the logarithm of the
-    /// odds.
+    /// Returns the strongest evidence against the version on trial, as a log-likelihood ratio.
+    ///
+    /// `replicas` is the number of the version's replicas.
     pub fn score(&self, replicas: u32) -> f64 {
         let by_route = self.by_route_class.values().map(|evidence| evidence.max_score(replicas));
-        by_route.fold(self.all.max_score(replicas), f64::max)
+        by_route.fold(self.all_routes.max_score(replicas), f64::max)
     }
 
-    /// What the counts say of a version that so many replicas have.
+    /// Returns the verdict on the version on trial, which has `replicas` replicas.
     pub fn verdict(&self, replicas: u32) -> TrialVerdict {
         match self.score(replicas) {
             score if score >= BAD_SCORE => TrialVerdict::Bad,
@@ -134,17 +144,23 @@
 
     fn add(&mut self, count: &TrialCount) {
         self.ended += u64::from(count.ended);
-        let failed = self.baseline.rate(self.baseline.failed, MIN_FAILURE_RATE);
-        let slow = self.baseline.rate(self.baseline.slow, MIN_SLOW_RATE);
-        let failed =
-            log_likelihood_ratio(count.ended, count.failed, failed, MIN_FAILURE_RATE_INCREASE);
+        let failure_rate = self.baseline.rate(self.baseline.failed, MIN_FAILURE_RATE);
+        let slow_rate = self.baseline.rate(self.baseline.slow, MIN_SLOW_RATE);
+        let failed = log_likelihood_ratio(
+            count.ended,
+            count.failed,
+            failure_rate,
+            MIN_FAILURE_RATE_INCREASE,
+        );
         let slow = log_likelihood_ratio(
             count.ended - count.failed,
             count.slow,
-            slow,
+            slow_rate,
             MIN_SLOW_RATE_INCREASE,
         );
-        for evidence in [&mut self.all, self.by_route_class.entry(count.route_class).or_default()] {
+        for evidence in
+            [&mut self.all_routes, self.by_route_class.entry(count.route_class).or_default()]
+        {
             evidence.overall.add(failed, slow);
             evidence.by_replica_class.entry(count.replica_class).or_default().add(failed, slow);
         }
@@ -152,7 +168,7 @@
 }
 
 impl Evidence {
-    /// The evidence for the likelier of the two ways to be bad.
+    /// Returns the stronger of the evidence for failures and the evidence for slowness.
     fn max_score(&self, replicas: u32) -> f64 {
         if replicas < 2 {
             return self.overall.failed.max(self.overall.slow);
@@ -161,26 +177,28 @@
         failed.max(self.version_score(self.overall.slow, |score| score.slow))
     }
 
-    /// What of the evidence is the version's.
+    /// Returns the part of the evidence that is attributed to the version.
     ///
-    /// Guards against one replica that fails, crashes or is slow by itself, which says nothing of
-    /// its version: evidence that nearly all comes from one of several replicas does not count.
-    fn version_score(&self, whole: f64, of: impl Fn(&CusumScore) -> f64) -> f64 {
-        let total: f64 = self.by_replica_class.values().map(&of).sum();
-        let worst = self.by_replica_class.values().map(&of).fold(0.0, f64::max);
+    /// Guards against a single replica that fails, crashes or is slow for reasons of its own: if
+    /// nearly all evidence comes from one of several replicas, it is capped in proportion to the
+    /// evidence of the others.
+    fn version_score(&self, overall: f64, score_of: impl Fn(&CusumScore) -> f64) -> f64 {
+        let total: f64 = self.by_replica_class.values().map(&score_of).sum();
+        let worst = self.by_replica_class.values().map(&score_of).fold(0.0, f64::max);
         let others = total - worst;
         if others >= MIN_OTHER_REPLICAS_FRACTION * total {
-            whole
+            overall
         } else {
-            whole.min(others / MIN_OTHER_REPLICAS_FRACTION)
+            overall.min(others / MIN_OTHER_REPLICAS_FRACTION)
         }
     }
 }
 
 impl BaselineCounts {
-    fn rate(&self, count: f64, least: f64) -> f64 {
-        let rate = (count + least * PRIOR_SENDS) / (self.ended + PRIOR_SENDS);
-        rate.max(least)
+    /// Returns the rate of `count` among the ended attempts, smoothed with `min_rate` as its prior.
+    fn rate(&self, count: f64, min_rate: f64) -> f64 {
+        let rate = (count + min_rate * PRIOR_ATTEMPTS) / (self.ended + PRIOR_ATTEMPTS);
+        rate.max(min_rate)
     }
 }
 
@@ -191,27 +209,31 @@
     }
 }
 
-/// How much likelier some ends are for a version that is bad, as a logarithm.
-fn log_likelihood_ratio(ended: u32, bad: u32, usual: f64, more: f64) -> f64 {
-    let usual = usual.min(MAX_RATE - more);
-    let if_bad = (usual + more).min(MAX_RATE);
+/// Returns the logarithm of how much likelier `bad` of `ended` outcomes are if the version is bad.
+///
+/// `baseline_rate` is the rate of bad outcomes in a good version, which a bad one exceeds by
+/// `increase`.
+fn log_likelihood_ratio(ended: u32, bad: u32, baseline_rate: f64, increase: f64) -> f64 {
+    let good_rate = baseline_rate.min(MAX_RATE - increase);
+    let bad_rate = (good_rate + increase).min(MAX_RATE);
     let good = f64::from(ended - bad);
-    f64::from(bad) * (if_bad / usual).ln() + good * ((1.0 - if_bad) / (1.0 - usual)).ln()
+    f64::from(bad) * (bad_rate / good_rate).ln()
+        + good * ((1.0 - bad_rate) / (1.0 - good_rate)).ln()
 }
 
 fn total_ended(counts: &[TrialCount]) -> u64 {
     counts.iter().map(|count| u64::from(count.ended)).sum()
 }
 
-/// What a count has beyond the one of the same classes in an earlier report.
+/// Returns by how much a count exceeds that of the same classes in an earlier report.
 fn count_increase(count: &TrialCount, before: &[TrialCount]) -> TrialCount {
-    let is_same = |one: &&TrialCount| {
+    let is_same_class = |one: &&TrialCount| {
         (one.is_on_trial, one.replica_class, one.route_class)
             == (count.is_on_trial, count.replica_class, count.route_class)
     };
-    let known = before.iter().find(is_same).copied().unwrap_or_default();
-    let ended = count.ended.saturating_sub(known.ended);
-    let failed = count.failed.saturating_sub(known.failed).min(ended);
-    let slow = count.slow.saturating_sub(known.slow).min(ended - failed);
+    let earlier = before.iter().find(is_same_class).copied().unwrap_or_default();
+    let ended = count.ended.saturating_sub(earlier.ended);
+    let failed = count.failed.saturating_sub(earlier.failed).min(ended);
+    let slow = count.slow.saturating_sub(earlier.slow).min(ended - failed);
     TrialCount { ended, failed, slow, ..*count }
 }
