--- a/crates/sassafrasproxy-core/src/forward/rollout/mod.rs
+++ b/crates/sassafrasproxy-core/src/forward/rollout/mod.rs
@@ -1,9 +1,9 @@
-//! Moving a service's traffic to a new version of its replicas, and back if the version is bad.
+//! Moves a service's traffic to a new version of its replicas, and back if the version is bad.
 //!
-//! An operator's order starts a trial: a few nodes, named in a record in the store, send a bounded
-//! number of requests to the new version (`Trial`) and tell the decider what came back
-//! (`TrialReport`). `VersionJudge` compares the versions; `RolloutDecider` promotes the new version
-//! or rolls it back. `service_versions` says which version a node may use at each moment.
+//! An operator's order starts a trial: a few canary nodes, named in a record in the store, send a
+//! bounded number of requests to the new version (`Trial`) and report the outcomes to the
+//! coordinator (`TrialReport`). `TrialAnalysis` compares the versions; `RolloutCoordinator` promotes
+//! the new version or rolls it back. `service_versions` returns the versions that a node may use.
 
 mod coordinator;
 mod order;
--- a/crates/sassafrasproxy-core/src/forward/rollout/order.rs
+++ b/crates/sassafrasproxy-core/src/forward/rollout/order.rs
@@ -1,4 +1,4 @@
-//! What an operator asks for, and what the nodes have agreed on.
+//! The rollout order that an operator writes and the rollout record that the nodes keep.
 
 use ecow::EcoString;
 use serde::{Deserialize, Serialize};
@@ -11,27 +11,29 @@
     pub service: EcoString,
     /// The version to move to.
     pub target_version: EcoString,
-    /// How long the move may take, in milliseconds.
+    /// The time that the rollout may take, in milliseconds.
     pub period_ms: u64,
 }
 
-/// How far a roll-out has come; it only goes forward, to one of two ends.
+/// The phase of a rollout.
+///
+/// It only moves forward, and ends as `Completed` or `RolledBack`.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum RolloutPhase {
-    /// Some nodes send a few requests to the new version.
+    /// The canaries send a few requests to the new version.
     Trial,
-    /// All nodes send all requests to the new version; the old one still runs.
+    /// All nodes send all requests to the new version; the old version still runs.
     Promoted,
-    /// The old version may stop.
+    /// The old version may be stopped.
     Completed,
-    /// The new version gets nothing any more.
+    /// The new version gets no more requests.
     RolledBack,
 }
 
 impl RolloutPhase {
-    /// Whether nothing follows.
+    /// Whether no other phase follows.
     pub fn is_final(self) -> bool {
         match self {
             Self::Completed | Self::RolledBack => true,
@@ -40,7 +42,7 @@
     }
 }
 
-/// What the nodes have agreed on for one service; written under a condition only.
+/// The agreed state of one service's rollout; changed by conditional writes only.
 #[derive(Debug, Clone, PartialEq)]
 #[derive(Serialize, Deserialize)]
 pub struct RolloutRecord {
@@ -50,20 +52,23 @@
     pub base_version: EcoString,
     /// The version to move to.
     pub target_version: EcoString,
-    /// The store's revision of the order, which tells it from all others.
+    /// The order's revision in the store, which identifies the order.
     pub order_revision: u64,
-    /// How far it has come.
+    /// The phase of the rollout.
     pub phase: RolloutPhase,
-    /// The nodes that may send to the new version during the trial.
+    /// The nodes that may send requests to the new version during the trial.
     pub canaries: Vec<EcoString>,
-    /// How many requests each of them may send, beyond a share of its own requests.
+    /// The number of permits of each canary: requests that it may send to the new version in
+    /// addition to `request_share`.
     ///
-    /// With all canaries together never above what the operators allow a bad version.
+    /// The permits of all canaries together never exceed the exposure that the operators allow for a
+    /// bad version.
     pub permits_each: u32,
-    /// How many more for each of its own requests to the service.
+    /// The number of requests to the new version for each request to the service that the canary
+    /// serves.
     pub request_share: f64,
-    /// Over how long the permits are spread, in milliseconds.
+    /// The time over which the permits are spread, in milliseconds.
     pub spread_ms: u64,
-    /// How much of the period was over when this was written, in milliseconds.
+    /// The elapsed part of the period when this record was written, in milliseconds.
     pub elapsed_ms: u64,
 }
--- a/crates/sassafrasproxy-core/src/forward/rollout/trial.rs
+++ b/crates/sassafrasproxy-core/src/forward/rollout/trial.rs
@@ -1,4 +1,4 @@
-//! What one node sends to a version on trial, and what comes back.
+//! Tracks what one node sends to a version on trial, and counts the outcomes.
 
 use ecow::EcoString;
 use indexmap::IndexMap;
@@ -6,88 +6,91 @@
 use serde::{Deserialize, Serialize};
 use xxhash_rust::xxh3::xxh3_64;
 
-/// From how many times its usual time on an answer counts as slow.
+/// An answer counts as slow if it takes more than this multiple of its expected time plus
+/// `SLOW_SLACK_US`.
 const SLOW_FACTOR: u64 = 2;
 
-/// How much longer it must take besides, in microseconds: a new connection and the node's own work take
-/// some milliseconds whatever the version.
+/// The time that an answer may take in addition to the multiple, in microseconds.
+///
+/// A new connection and the node's own work take some milliseconds regardless of the version.
 const SLOW_SLACK_US: u64 = 5_000;
 
-/// In how many classes the replicas of a version are counted.
+/// The number of classes in which the replicas of a version are counted.
 const REPLICA_CLASSES: u64 = 256;
 
-/// From how many counts on the replicas share fewer classes, so that a report fits a datagram.
+/// The number of counts from which replicas are grouped into fewer classes, so that a report fits in
+/// a datagram.
 const MAX_FINE_COUNTS: usize = 48;
 
-/// In how many classes they are counted then.
+/// The number of classes of replicas from then on.
 const COARSE_REPLICA_CLASSES: u64 = 8;
 
-/// In how many classes the routes to a service are counted.
+/// The number of classes in which the routes to a service are counted.
 const ROUTE_CLASSES: u64 = 4;
 
-/// The class in which a route's sends are counted, so that a report has a bounded size.
+/// The class in which a route's attempts are counted; classes bound the size of a report.
 pub type RouteClass = u8;
 
-/// The class of a route.
+/// Returns the class of a route.
 pub fn route_class(route: &str) -> RouteClass {
     (xxh3_64(route.as_bytes()) % ROUTE_CLASSES) as RouteClass
 }
 
-/// What this node may send to a version on trial.
+/// The requests that this node may send to a version on trial.
 #[derive(Debug, Clone, PartialEq)]
 pub struct TrialGrant {
     /// The version on trial.
     pub version: EcoString,
-    /// The store's revision of the order.
+    /// The order's revision in the store.
     pub order_revision: u64,
-    /// How many sends, whatever else this node serves.
+    /// The number of requests that the node may send, regardless of its own traffic.
     pub permits: u32,
-    /// How many more for each request that this node sends to the service.
+    /// The number of additional requests for each request that the node sends to the service.
     pub ratio: f64,
-    /// Over how long the permits are spread, in microseconds, so that a version which turns bad
-    /// later is still seen.
+    /// The time over which the permits are spread, in microseconds, so that a version that turns bad
+    /// later is still observed.
     pub spread_us: u64,
 }
 
-/// How a send ended, as far as its version is concerned.
+/// The outcome of an attempt, as far as the replica's version is concerned.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum TrialOutcome {
-    /// It was answered after a time, in microseconds.
+    /// The attempt was answered.
     Answered {
-        /// The time.
+        /// The time from the attempt to the answer, in microseconds.
         took_us: u64,
     },
-    /// The replica failed, or its answer is lost.
+    /// The replica failed, or its answer was lost.
     Failed,
-    /// It says nothing of the version.
+    /// The outcome says nothing about the version.
     Unknown,
 }
 
-/// The sends to one class of replicas of one version, for one class of routes.
+/// The attempts on one class of replicas of one version, for one class of routes.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct TrialCount {
     /// Whether the version is the one on trial.
     pub is_on_trial: bool,
-    /// The class of the replicas; 0 for all of the version that is in use.
+    /// The class of the replicas; 0 for all replicas of the version in use.
     pub replica_class: u8,
     /// The class of the routes.
     pub route_class: RouteClass,
-    /// How many ended with an answer or a failure.
+    /// The number of attempts that ended with an answer or a failure.
     pub ended: u32,
-    /// How many of these failed.
+    /// The number of these that failed.
     pub failed: u32,
-    /// How many of these were answered slowly.
+    /// The number of these that were answered slowly.
     pub slow: u32,
 }
 
-/// What a node has counted since it was granted a trial; each report replaces the ones before.
+/// The counts of a node since it was granted a trial; each report replaces the earlier ones.
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct TrialReport {
-    /// The store's revision of the order.
+    /// The order's revision in the store.
     pub order_revision: u64,
-    /// The counts; no two of the same classes and version.
+    /// The counts; no two have the same classes and version.
     pub counts: Vec<TrialCount>,
 }
 
@@ -96,20 +99,20 @@
 pub struct Trial {
     grant: TrialGrant,
     started_us: u64,
-    /// First sends to the service, whatever the version.
+    /// The number of first attempts on the service, regardless of the version.
     requests: u64,
-    /// Sends to the version on trial; never above `allowed`.
+    /// The number of attempts on the version on trial.
     trial_sends: u64,
     counts: IndexMap<(bool, u8, RouteClass), TrialCount>,
 }
 
 impl Trial {
-    /// A trial in which nothing was sent.
+    /// Creates a trial in which nothing has been sent.
     pub fn new(grant: TrialGrant, now_us: u64) -> Self {
         Self { grant, started_us: now_us, requests: 0, trial_sends: 0, counts: IndexMap::new() }
     }
 
-    /// What this node may send.
+    /// Returns the requests that this node may send.
     pub fn grant(&self) -> &TrialGrant {
         &self.grant
     }
@@ -119,53 +122,53 @@
         self.trial_sends < self.allowed_sends(now_us)
     }
 
-    /// How many of this node's sends went to the version on trial.
+    /// Returns the number of this node's attempts on the version on trial.
     pub fn trial_sends(&self) -> u64 {
         self.trial_sends
     }
 
-    /// Notes the first send of a request to the service.
+    /// Records the first attempt of a request to the service.
     pub fn record_request(&mut self) {
         self.requests += 1;
     }
 
-    /// Notes a send to the version on trial.
+    /// Records an attempt on the version on trial.
     pub fn record_send(&mut self) {
         self.trial_sends += 1;
     }
 
-    /// Notes how a send ended whose usual time is `usual_us`.
+    /// Records the outcome of an attempt whose expected time is `expected_us`.
     pub fn record_end(
         &mut self,
         replica: &ReplicaEntry,
-        routes: RouteClass,
-        usual_us: u64,
+        route_class: RouteClass,
+        expected_us: u64,
         outcome: TrialOutcome,
     ) {
         let (failed, slow) = match outcome {
             TrialOutcome::Answered { took_us } => {
-                (0, u32::from(took_us > SLOW_FACTOR * usual_us + SLOW_SLACK_US))
+                (0, u32::from(took_us > SLOW_FACTOR * expected_us + SLOW_SLACK_US))
             }
             TrialOutcome::Failed => (1, 0),
             TrialOutcome::Unknown => return,
         };
         let is_on_trial = replica.version == self.grant.version;
-        let is_many = self.counts.len() >= MAX_FINE_COUNTS;
-        let classes = if is_many { COARSE_REPLICA_CLASSES } else { REPLICA_CLASSES };
+        let is_coarse = self.counts.len() >= MAX_FINE_COUNTS;
+        let classes = if is_coarse { COARSE_REPLICA_CLASSES } else { REPLICA_CLASSES };
         let class = (xxh3_64(replica.id.as_bytes()) % classes) as u8;
-        let replicas = if is_on_trial { class } else { 0 };
-        let count = self.counts.entry((is_on_trial, replicas, routes)).or_default();
+        let replica_class = if is_on_trial { class } else { 0 };
+        let count = self.counts.entry((is_on_trial, replica_class, route_class)).or_default();
         *count = TrialCount {
             is_on_trial,
-            replica_class: replicas,
-            route_class: routes,
+            replica_class,
+            route_class,
             ended: count.ended + 1,
             failed: count.failed + failed,
             slow: count.slow + slow,
         };
     }
 
-    /// What was counted.
+    /// Returns the counts since the trial began.
     pub fn report(&self) -> TrialReport {
         TrialReport {
             order_revision: self.grant.order_revision,
@@ -173,12 +176,14 @@
         }
     }
 
-    /// How many sends to the version on trial this node is allowed by now.
+    /// Returns how many attempts on the version on trial this node may have made by now.
+    ///
+    /// The first permit is available at once, and the others are spread evenly over `spread_us`.
     fn allowed_sends(&self, now_us: u64) -> u64 {
         let TrialGrant { permits, ratio, spread_us, .. } = self.grant;
         let age_us = now_us.saturating_sub(self.started_us).min(spread_us);
-        let later = u64::from(permits.saturating_sub(1));
-        let by_age = u64::from(permits.min(1)) + later * age_us / spread_us.max(1);
+        let delayed = u64::from(permits.saturating_sub(1));
+        let by_age = u64::from(permits.min(1)) + delayed * age_us / spread_us.max(1);
         by_age + (ratio * self.requests as f64) as u64
     }
 }
--- a/crates/sassafrasproxy-core/src/forward/rollout/versions.rs
+++ b/crates/sassafrasproxy-core/src/forward/rollout/versions.rs
@@ -1,4 +1,4 @@
-//! Which version of a service may get requests.
+//! Selects the versions of a service that may get requests.
 
 use ecow::EcoString;
 
@@ -9,15 +9,16 @@
 pub struct ServiceVersions {
     /// The version that all requests may use; `None` while no replica may be used.
     pub in_use: Option<EcoString>,
-    /// The version that is on trial, if any.
+    /// The version on trial, if any.
     pub on_trial: Option<EcoString>,
 }
 
-/// Which versions of a service may get requests.
+/// Returns the versions of a service that may get requests.
 ///
-/// `listed` gives version and start of each replica of the service. A version that no order named
-/// is not used beside others: before the first order, the service is at the version of the replica
-/// that started first. `is_stopped` says that the roll-out was stopped before the record says so.
+/// `listed` yields the version and the start time in milliseconds of each replica of the service.
+/// Without a record, only the version of the replica that started first is used, so that a version
+/// that no order names gets no requests. `is_stopped` tells that the rollout was stopped, which may
+/// precede the record.
 pub fn service_versions<'a>(
     record: Option<&RolloutRecord>,
     is_stopped: bool,
@@ -28,7 +29,7 @@
         let in_use = oldest().map(|(version, _)| version.clone());
         return ServiceVersions { in_use, on_trial: None };
     };
-    let is_there = |version: &EcoString| listed.clone().any(|(listed, _)| listed == version);
+    let is_listed = |version: &EcoString| listed.clone().any(|(listed, _)| listed == version);
     let only =
         |version: &EcoString| ServiceVersions { in_use: Some(version.clone()), on_trial: None };
     match record.phase {
@@ -41,28 +42,28 @@
             version_after_rollout(
                 &record.base_version,
                 Some(&record.target_version),
-                is_there,
+                is_listed,
                 listed.clone(),
             )
         }
         RolloutPhase::Completed => {
-            version_after_rollout(&record.target_version, None, is_there, listed.clone())
+            version_after_rollout(&record.target_version, None, is_listed, listed.clone())
         }
     }
 }
 
-/// The version that a roll-out ended with; if its replicas are gone, the only other one there is.
+/// Returns the version that a rollout ended with or, if no replica has it, the only other version.
 ///
-/// A version that was rolled back stays out even where it is the only one.
+/// A version that was rolled back (`bad`) is not used, even if it is the only one.
 fn version_after_rollout<'a>(
     version: &EcoString,
     bad: Option<&EcoString>,
-    is_there: impl Fn(&EcoString) -> bool,
+    is_listed: impl Fn(&EcoString) -> bool,
     listed: impl Iterator<Item = (&'a EcoString, u64)> + Clone,
 ) -> ServiceVersions {
     let mut others = listed.map(|(version, _)| version).filter(|listed| Some(*listed) != bad);
     let in_use = match others.next() {
-        Some(only) if !is_there(version) && others.all(|other| other == only) => only,
+        Some(only) if !is_listed(version) && others.all(|other| other == only) => only,
         Some(_) | None => version,
     };
     ServiceVersions { in_use: Some(in_use.clone()), on_trial: None }
--- a/crates/sassafrasproxy-core/src/forward/sending/fetch.rs
+++ b/crates/sassafrasproxy-core/src/forward/sending/fetch.rs
@@ -1,110 +1,112 @@
-//! Getting one answer of one service: first send, hedge and retries.
+//! Gets one answer from one service with a first attempt, a hedge and retries.
 
 use ecow::EcoString;
 
 use crate::{RetryBudget, RouteClass, SendId, UpstreamPool};
 
-/// What bounds one fetch.
+/// The limits of one fetch.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct FetchPlan {
-    /// The usual time of such a request, in microseconds.
+    /// The expected time of such a request, in microseconds.
     pub expected_us: u64,
-    /// How long after a send a second one may start, in microseconds.
+    /// The time after an attempt at which a hedge may start, in microseconds.
     pub hedge_after_us: u64,
-    /// How many replicas it may be sent to; at least 1.
+    /// The maximum number of attempts, each on another replica; at least 1.
     pub max_attempts: u32,
-    /// Whether it may run more than once.
+    /// Whether the request may run more than once.
     pub is_idempotent: bool,
-    /// In how many shares the fixed budget for extra sends is counted.
+    /// The number of shares into which the fixed part of the retry budget is divided; see
+    /// `budget_shares`.
     pub budget_shares: usize,
-    /// In which class of routes its sends are counted in the trial of a version.
+    /// The class of routes in which its attempts are counted in the trial of a version.
     pub route_class: RouteClass,
 }
 
-/// Why a send is made.
+/// The reason for an attempt.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum SendCause {
-    /// It is the first.
+    /// It is the first attempt.
     First,
-    /// The one before it takes longer than usual.
+    /// The previous attempt takes longer than usual.
     Hedge,
-    /// The one before it failed.
+    /// The previous attempt failed.
     Retry,
 }
 
-/// What to do next.
+/// The next step of a fetch.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum FetchStep {
-    /// Send to a replica; the send is noted in the pool already.
+    /// Send the request to a replica; the pool has already recorded the attempt.
     Send {
         /// The replica.
         replica: EcoString,
-        /// The send.
+        /// The attempt's id in the pool.
         send: SendId,
-        /// Why.
+        /// The reason for the attempt.
         cause: SendCause,
     },
-    /// Wait for a send to end, or until a time if there is one.
+    /// Wait for an attempt to end, at most until the given time.
     Wait {
-        /// The time.
+        /// The time in microseconds; `None` for no limit.
         until_us: Option<u64>,
     },
-    /// Nothing more can be done.
+    /// The fetch failed.
     Failed(FetchFailure),
 }
 
-/// Why a fetch failed.
+/// The failure of a fetch.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct FetchFailure {
-    /// What stopped it.
+    /// The reason for the failure.
     pub reason: FetchFailureReason,
     /// Whether a replica may have run the request.
     pub may_have_run: bool,
 }
 
-/// What stopped a fetch.
+/// The reason for which a fetch failed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum FetchFailureReason {
-    /// No replica of the service can be used now.
+    /// No replica of the service is usable now.
     NoReplica,
-    /// As many replicas were asked as may be.
+    /// The maximum number of attempts was made.
     AllTried,
-    /// The budget for extra sends is spent.
+    /// The retry budget is spent.
     NoBudget,
-    /// It may have run, and must not run again.
+    /// The request may have run, and is not idempotent.
     NotRepeatable,
     /// The replicas are slow, and other requests need them more.
     TooSlow,
 }
 
-/// How a send of a fetch ended.
+/// The result of an attempt.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum SendResult {
-    /// With an answer that ends the fetch.
+    /// The replica sent an answer that ends the fetch.
     Answered,
-    /// With the replica's word that it did not run the request.
+    /// The replica reported that it did not run the request.
     NotRun,
-    /// With a failure after which the request may have run.
+    /// The attempt failed, and the replica may have run the request.
     MayHaveRun,
-    /// Before anything was sent.
+    /// The attempt ended before anything was sent.
     Unsent,
 }
 
-/// The state of one fetch.
+/// The state of one fetch: a request to one service.
 #[derive(Debug, Clone)]
 pub struct Fetch {
     service: EcoString,
     tried: Vec<EcoString>,
     in_flight: u32,
-    /// Sends that reached a replica, or may have.
+    /// The number of attempts, without those that ended before anything was sent.
     attempts: u32,
     may_have_run: bool,
     last_sent_us: u64,
+    /// Whether the fetch has used its only opportunity to hedge, even if no hedge was sent.
     is_hedging_over: bool,
 }
 
 impl Fetch {
-    /// A fetch that has sent nothing.
+    /// Creates a fetch that has sent nothing.
     pub fn new(service: EcoString) -> Self {
         Self {
             service,
@@ -117,22 +119,22 @@
         }
     }
 
-    /// The service.
+    /// Returns the service that the request is sent to.
     pub fn service(&self) -> &EcoString {
         &self.service
     }
 
-    /// The replica that was asked last; empty if none was.
+    /// Returns the replica of the last attempt; empty if there was none.
     pub fn last_replica(&self) -> &str {
         self.tried.last().map_or("", EcoString::as_str)
     }
 
-    /// Whether a replica may have run the request, or may be running it.
+    /// Whether a replica may have run the request or may be running it.
     pub fn may_have_run(&self) -> bool {
         self.may_have_run || self.in_flight > 0
     }
 
-    /// What to do next.
+    /// Returns the next step, and starts the attempt if the step is to send.
     pub fn next(
         &mut self,
         now_us: u64,
@@ -160,7 +162,7 @@
         self.send(now_us, plan, pool, replica, SendCause::Hedge)
     }
 
-    /// Takes the end of a send in.
+    /// Records the result of an attempt.
     pub fn record_result(&mut self, result: SendResult) {
         self.in_flight = self.in_flight.saturating_sub(1);
         match result {
@@ -178,7 +180,7 @@
         budget: &mut RetryBudget,
     ) -> FetchStep {
         let failed =
-            |end| FetchStep::Failed(FetchFailure { reason: end, may_have_run: self.may_have_run });
+            |reason| FetchStep::Failed(FetchFailure { reason, may_have_run: self.may_have_run });
         if self.may_have_run && !plan.is_idempotent {
             return failed(FetchFailureReason::NotRepeatable);
         }
--- a/crates/sassafrasproxy-core/src/forward/sending/mod.rs
+++ b/crates/sassafrasproxy-core/src/forward/sending/mod.rs
@@ -1,8 +1,9 @@
-//! When to send, send again, stop waiting and answer.
+//! Decides when to make an attempt, hedge, retry, stop waiting and answer.
 //!
-//! `Fetch` takes one service from its first send to its answer, with a hedge after the time that
-//! `RouteTimes` learned and retries, both from the budget that all nodes share. A query over shards
-//! has one fetch for each; its plan says when to answer with the parts that are in.
+//! `Fetch` takes a request to one service from its first attempt to its answer. It hedges after the
+//! delay that `RouteLatencies` learned, and retries; both spend the `RetryBudget`, which limits the
+//! extra attempts of all nodes together. A query over shards has one fetch for each shard; its
+//! `GatherPlan` says when to answer with the parts that have arrived.
 
 mod fetch;
 mod gather;
