--- a/crates/sassafrasproxy-core/examples/rollouts.rs
+++ b/crates/sassafrasproxy-core/examples/rollouts.rs
@@ -1,4 +1,5 @@
-//! Plays roll-outs of good and bad versions with the real reducers, and prints what came of them.
+//! Simulates rollouts of good and bad versions with the production state machines, and prints a table
+//! of the results.
 
 #[path = "../tests/nodes/mod.rs"]
 mod nodes;
@@ -13,7 +14,7 @@
     RolloutResult, VersionBehavior, behavior_name, random_scenario, simulate,
 };
 
-/// One row of the table.
+/// One row of the table: the results for one behavior of the new version.
 #[derive(Default)]
 struct Row {
     count: u64,
@@ -25,7 +26,7 @@
     wrong_sends: u64,
     sends_before_order: u64,
     bad_answers: u64,
-    /// The greatest exposure in parts of the bound.
+    /// The greatest exposure, as a fraction of the bound.
     max_exposure_ratio: f64,
     end_fraction_sum: f64,
 }
@@ -43,12 +44,12 @@
         .arg(number("share-part", "0.3"))
         .arg(Arg::new("verbose").long("verbose").num_args(0))
         .get_matches();
-    let part = |name: &str| *matches.get_one::<f64>(name).expect("it has a default");
+    let fraction = |name: &str| *matches.get_one::<f64>(name).expect("it has a default");
     let policy = RolloutPolicy {
-        trial_fraction: part("trial-part"),
-        permit_spread_factor: part("spread-part"),
-        permit_fraction: part("permit-part"),
-        canary_share_fraction: part("share-part"),
+        trial_fraction: fraction("trial-part"),
+        permit_spread_factor: fraction("spread-part"),
+        permit_fraction: fraction("permit-part"),
+        canary_share_fraction: fraction("share-part"),
         ..RolloutPolicy::new(0.1, 50.0)
     };
     let seeds = *matches.get_one::<u64>("seeds").expect("it has a default");
@@ -56,21 +57,21 @@
     let mut rows: IndexMap<&str, Row> = IndexMap::new();
     for seed in first..first + seeds {
         for is_bad in [false, true] {
-            let scene = random_scenario(seed, is_bad, policy);
-            let played = simulate(scene.clone());
-            let name = behavior_name(scene.behavior);
-            let is_odd = match scene.behavior {
+            let scenario = random_scenario(seed, is_bad, policy);
+            let result = simulate(scenario.clone());
+            let name = behavior_name(scenario.behavior);
+            let is_unexpected = match scenario.behavior {
                 VersionBehavior::Good => {
-                    played.end != Some(RolloutPhase::Completed) || played.end_fraction > 0.8
+                    result.end != Some(RolloutPhase::Completed) || result.end_fraction > 0.8
                 }
-                _ => played.end != Some(RolloutPhase::RolledBack),
+                _ => result.end != Some(RolloutPhase::RolledBack),
             };
-            let is_over = played.exposed_requests as f64 > played.max_exposure(&policy);
-            let is_odd = is_odd || (is_over && is_bad) || played.late_sends > 0;
-            if matches.get_flag("verbose") && (is_odd || played.wrong_sends > 0) {
-                println!("{scene:?}\n  {played:?}");
+            let is_over_bound = result.exposed_requests as f64 > result.max_exposure(&policy);
+            let is_unexpected = is_unexpected || (is_over_bound && is_bad) || result.late_sends > 0;
+            if matches.get_flag("verbose") && (is_unexpected || result.wrong_sends > 0) {
+                println!("{scenario:?}\n  {result:?}");
             }
-            rows.entry(name).or_default().add(&played, &policy);
+            rows.entry(name).or_default().add(&result, &policy);
         }
     }
     println!(
@@ -108,20 +109,20 @@
 }
 
 impl Row {
-    fn add(&mut self, played: &RolloutResult, policy: &RolloutPolicy) {
-        let bound = played.max_exposure(policy);
+    fn add(&mut self, result: &RolloutResult, policy: &RolloutPolicy) {
+        let bound = result.max_exposure(policy);
         self.count += 1;
-        self.rolled_back += u64::from(played.end == Some(RolloutPhase::RolledBack));
-        let is_completed = played.end == Some(RolloutPhase::Completed);
+        self.rolled_back += u64::from(result.end == Some(RolloutPhase::RolledBack));
+        let is_completed = result.end == Some(RolloutPhase::Completed);
         self.completed += u64::from(is_completed);
-        self.in_time += u64::from(is_completed && played.end_fraction <= 0.8);
-        self.over_bound += u64::from(played.exposed_requests as f64 > bound);
-        self.late_runs += u64::from(played.late_sends > 0);
-        self.wrong_sends += played.wrong_sends;
-        self.sends_before_order += played.sends_before_order;
-        self.bad_answers += played.bad_answers;
+        self.in_time += u64::from(is_completed && result.end_fraction <= 0.8);
+        self.over_bound += u64::from(result.exposed_requests as f64 > bound);
+        self.late_runs += u64::from(result.late_sends > 0);
+        self.wrong_sends += result.wrong_sends;
+        self.sends_before_order += result.sends_before_order;
+        self.bad_answers += result.bad_answers;
         self.max_exposure_ratio =
-            self.max_exposure_ratio.max(played.exposed_requests as f64 / bound);
-        self.end_fraction_sum += played.end_fraction;
+            self.max_exposure_ratio.max(result.exposed_requests as f64 / bound);
+        self.end_fraction_sum += result.end_fraction;
     }
 }
--- a/crates/sassafrasproxy-core/src/forward/sending/gather.rs
+++ b/crates/sassafrasproxy-core/src/forward/sending/gather.rs
@@ -1,73 +1,76 @@
-//! Answering from many shards: when to stop waiting, and how parts become one answer.
+//! Decides when a query over many shards is answered, and merges the parts into one answer.
 
 /// The size of a record, in bytes.
 pub const RECORD_BYTES: usize = 16;
 
-/// What bounds one gathered answer.
+/// The limits of one gather.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct GatherPlan {
-    /// How many shards there are; at least 1.
+    /// The number of shards; at least 1.
     pub shards: usize,
-    /// The least parts that make an answer; at least 1.
+    /// The minimum number of parts in an answer; at least 1.
     pub min_parts: usize,
-    /// Until when all parts are waited for, in microseconds.
+    /// The time until which the gather waits for all parts, in microseconds.
     ///
-    /// Callers are better served in time without the last parts than late with all of them.
+    /// An answer in time without the last parts serves callers better than a late one with all of
+    /// them.
     pub soft_deadline_us: u64,
-    /// When the caller must have its final answer, in microseconds.
+    /// The deadline of the answer, in microseconds.
     pub end_us: u64,
 }
 
-/// What is kept of a latency goal for sending the answer, in microseconds: timers fire up to a
-/// millisecond late.
+/// The part of a latency goal that is reserved for sending the answer, in microseconds; timers fire
+/// up to a millisecond late.
 const SEND_RESERVE_US: u64 = 1_500;
 
-/// What is kept for each shard besides, in microseconds: parts that came at the same time are read
-/// first.
+/// The additional reserve for each shard, in microseconds, because all parts that arrive at the same
+/// time are read before the answer is sent.
 const PART_RESERVE_US: u64 = 50;
 
-/// The part of a latency goal that is kept besides.
+/// The additional reserve is the latency goal divided by this.
 ///
-/// A late answer helps its caller little, one without the last part nearly as much as a whole one: so
-/// an answer does not wait until the last moment at which it may still come in time.
+/// A late answer helps its caller little, and an answer without the last part helps nearly as much
+/// as a complete one. So the gather does not wait until the last moment at which the answer may still
+/// arrive in time.
 const GOAL_SLACK_DIVISOR: u64 = 25;
 
-/// The part of the caller's round trip that is kept besides, as some of its answers take longer.
+/// The additional reserve is the caller round trip divided by this, because some answers take longer
+/// on their way.
 const ROUND_TRIP_SLACK_DIVISOR: u64 = 8;
 
 impl GatherPlan {
-    /// Until when all parts are waited for, in microseconds, so that a caller whose goal started
-    /// at `start_us` and which is a round trip of `way_us` away gets the answer in time.
+    /// Returns the soft deadline, in microseconds, that lets the answer arrive in time at a caller
+    /// whose latency goal started at `start_us` and whose round trip takes `round_trip_us`.
     pub fn soft_deadline_us(start_us: u64, goal_us: u64, round_trip_us: u64, shards: usize) -> u64 {
         let reserve_us =
             SEND_RESERVE_US + PART_RESERVE_US * shards as u64 + goal_us / GOAL_SLACK_DIVISOR;
-        let way_us = round_trip_us + round_trip_us / ROUND_TRIP_SLACK_DIVISOR;
-        (start_us + goal_us).saturating_sub(way_us + reserve_us)
+        let answer_reserve_us = round_trip_us + round_trip_us / ROUND_TRIP_SLACK_DIVISOR;
+        (start_us + goal_us).saturating_sub(answer_reserve_us + reserve_us)
     }
 
-    /// The least parts for a coverage in 0 to 1.
+    /// Returns the minimum number of parts for a coverage from 0 to 1.
     pub fn min_parts(shards: usize, min_coverage: f64) -> usize {
-        // A coverage such as 0.75 of 20 must not become 16 by a rounding error.
-        let least = (shards as f64 * min_coverage - 1e-9).ceil();
-        (least.max(1.0) as usize).min(shards)
+        // Without the subtraction, a rounding error could turn a coverage of 0.75 of 20 into 16.
+        let min_parts = (shards as f64 * min_coverage - 1e-9).ceil();
+        (min_parts.max(1.0) as usize).min(shards)
     }
 }
 
-/// What to do with the parts that are in.
+/// The next step of a gather.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum GatherStep {
-    /// Answer with them.
+    /// Answer with the parts that have arrived.
     Answer,
-    /// Wait for more, until a time at most.
+    /// Wait for more parts, at most until the given time.
     Wait {
-        /// The time.
+        /// The time in microseconds.
         until_us: u64,
     },
-    /// Give up: too few are in, and too few can still come or the time is over.
+    /// Fail: too few parts have arrived, and too few can still arrive or the deadline has passed.
     GiveUp,
 }
 
-/// What to do with `parts` in and `pending` still under way.
+/// Returns the next step of a gather with `parts` parts received and `pending` still expected.
 pub fn next_gather_step(
     now_us: u64,
     plan: &GatherPlan,
@@ -88,22 +91,23 @@
     GatherStep::Wait { until_us }
 }
 
-/// In how long so many shards can be asked that an answer is possible, in microseconds; `None`
-/// if too few are there at all.
+/// Returns the time until `min_parts` shards are usable, in microseconds; `None` if too few shards
+/// will become usable.
 ///
-/// `usable_in_us` says in how long each shard has a replica that may get work. Guards against
-/// queries that must fail: with three of twenty shards away and eighteen needed, seventeen
-/// replicas would work for an answer that nobody gets.
+/// `usable_in_us` holds the time until each shard has a replica that may get work. Callers use the
+/// result to refuse queries that would fail: with three of twenty shards unavailable and eighteen
+/// required, seventeen replicas would work for an answer that is never sent.
 pub fn min_parts_usable_in_us(usable_in_us: &[Option<u64>], min_parts: usize) -> Option<u64> {
-    let mut times: Vec<u64> = usable_in_us.iter().copied().flatten().collect();
-    times.sort_unstable();
-    times.get(min_parts.saturating_sub(1)).copied()
+    let mut times_us: Vec<u64> = usable_in_us.iter().copied().flatten().collect();
+    times_us.sort_unstable();
+    times_us.get(min_parts.saturating_sub(1)).copied()
 }
 
-/// The greatest records of all parts, greatest first; a part's remainder is no record.
+/// Returns the `top_k` greatest records of all parts, concatenated in descending order.
 ///
-/// Equal records all count. Selecting before sorting keeps the work near one pass over the
-/// parts, as an answer holds a few of many records.
+/// Equal records are all kept. Bytes after the last complete record of a part are ignored. Selecting
+/// before sorting keeps the work near one pass over the parts, as an answer holds few of many
+/// records.
 pub fn merge_records<'a>(parts: impl IntoIterator<Item = &'a [u8]>, top_k: usize) -> Vec<u8> {
     let mut records: Vec<&[u8; RECORD_BYTES]> =
         parts.into_iter().flat_map(|part| part.as_chunks::<RECORD_BYTES>().0).collect();
--- a/crates/sassafrasproxy-core/src/forward/sending/route_latencies.rs
+++ b/crates/sassafrasproxy-core/src/forward/sending/route_latencies.rs
@@ -1,31 +1,36 @@
-//! How long the requests of a route take, and when a second send is worth it.
+//! Measures the latencies of a route's attempts, and derives the hedge delay from them.
 
 use crate::LatencyWindow;
 
-/// The quantile of a route's latencies after which a second send starts.
+/// The quantile of a route's latencies from which the hedge delay is computed.
 ///
-/// A tenth of the sends get a second one: half of what the budget allows at its usual ratio, so
-/// that the other half is left for retries.
+/// About a tenth of the attempts are hedged, which takes half of the retry budget at its usual ratio
+/// and leaves the other half for retries.
 const HEDGE_QUANTILE: f64 = 0.9;
 
-/// What that quantile is multiplied by, so that sends about to end are left alone.
+/// The factor by which that quantile is multiplied, so that attempts that are about to end are not
+/// hedged.
 const HEDGE_FACTOR: f64 = 1.2;
 
-/// The least time before a second send, in microseconds: about a round trip and a short run.
+/// The minimum hedge delay, in microseconds: about a round trip and a short run of a request.
 const MIN_HEDGE_DELAY_US: u64 = 4_000;
 
-/// The longest time before a second send, as a part of the latency goal.
+/// The maximum hedge delay of a query over shards, as a fraction of the latency goal.
 ///
-/// Guards against many slow replicas at once: they raise the quantile, and second sends would
-/// start too late to help just when they are needed. A query over shards must merge after its
-/// last part; a single request may use half of its goal before the second send.
+/// If many replicas are slow at once, they raise the quantile. Without a maximum, hedges would start
+/// too late to help just when they are needed. A query over shards must still merge its parts
+/// after the last one has arrived.
 const MAX_SHARDS_HEDGE_FRACTION: f64 = 0.25;
+
+/// The maximum hedge delay of a request to a single replica, as a fraction of the latency goal; it
+/// may use half of the goal before the hedge.
 const MAX_SINGLE_HEDGE_FRACTION: f64 = 0.5;
 
-/// The part of the latency goal that stands for the usual time before any was measured.
+/// The latency goal divided by this is the expected latency until enough latencies are measured; the
+/// quantile for the hedge delay is taken as twice that.
 const DEFAULT_LATENCY_DIVISOR: u64 = 8;
 
-/// What the requests of a route ask.
+/// The replicas that a request of a route is sent to.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Fanout {
     /// One replica.
@@ -34,37 +39,37 @@
     Shards,
 }
 
-/// The usual time of a route's sends, and when a second send may start.
+/// The expected time of a route's attempts, and the hedge delay.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct SendTiming {
-    /// The median, in microseconds.
+    /// The median latency, in microseconds.
     pub expected_us: u64,
-    /// How long after a send a second one may start, in microseconds.
+    /// The time after an attempt at which a hedge may start, in microseconds.
     pub hedge_after_us: u64,
 }
 
-/// The latencies that the sends of one route showed.
+/// The measured latencies of one route's attempts.
 #[derive(Debug, Clone, Default)]
 pub struct RouteLatencies {
     latencies: LatencyWindow,
 }
 
 impl RouteLatencies {
-    /// Notes how long an answer took.
+    /// Records the latency of an answer, in microseconds.
     pub fn record(&mut self, took_us: u64) {
         self.latencies.record(took_us);
     }
 
-    /// The times to plan a send with.
+    /// Returns the expected time and the hedge delay for a route with the given latency goal.
     pub fn send_timing(&self, goal_us: u64, fanout: Fanout) -> SendTiming {
         let unmeasured_us = goal_us / DEFAULT_LATENCY_DIVISOR;
         let expected_us = self.latencies.quantile_us(0.5).unwrap_or(unmeasured_us);
-        let late_us = self.latencies.quantile_us(HEDGE_QUANTILE).unwrap_or(2 * unmeasured_us);
-        let part = match fanout {
+        let quantile_us = self.latencies.quantile_us(HEDGE_QUANTILE).unwrap_or(2 * unmeasured_us);
+        let max_fraction = match fanout {
             Fanout::Single => MAX_SINGLE_HEDGE_FRACTION,
             Fanout::Shards => MAX_SHARDS_HEDGE_FRACTION,
         };
-        let hedge_us = (late_us as f64 * HEDGE_FACTOR).min(goal_us as f64 * part);
+        let hedge_us = (quantile_us as f64 * HEDGE_FACTOR).min(goal_us as f64 * max_fraction);
         SendTiming { expected_us, hedge_after_us: (hedge_us as u64).max(MIN_HEDGE_DELAY_US) }
     }
 }
--- a/crates/sassafrasproxy-core/tests/fetches.rs
+++ b/crates/sassafrasproxy-core/tests/fetches.rs
@@ -1,4 +1,4 @@
-//! First sends, hedges and retries of one service.
+//! Tests the first attempts, hedges and retries of a fetch.
 
 #![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 
@@ -63,65 +63,72 @@
         self.pool.finish_send(&replica, send, now_us, SendOutcome::Cancelled, None);
     }
 
-    fn expect_failure(&mut self, end: FetchFailureReason, may_have_run: bool) {
-        let expected = FetchStep::Failed(FetchFailure { reason: end, may_have_run });
+    fn expect_failure(&mut self, reason: FetchFailureReason, may_have_run: bool) {
+        let expected = FetchStep::Failed(FetchFailure { reason, may_have_run });
         assert_eq!(self.next(0), expected);
     }
 }
 
-/// An order was sent and its answer is lost: a second send could print the range twice.
+/// Guards against a second attempt of a request that is not idempotent: its answer was lost, and the
+/// replica may have run it, so another attempt could run it twice.
 #[test]
 fn non_idempotent_sent_once() {
-    let mut scene = FetchHarness::new(3, false, 100.0);
-    scene.expect_send(0, SendCause::First);
-    assert_eq!(scene.next(1_000_000), FetchStep::Wait { until_us: None }, "no second send ever");
-    scene.fetch.record_result(SendResult::MayHaveRun);
-    scene.expect_failure(FetchFailureReason::NotRepeatable, true);
+    let mut harness = FetchHarness::new(3, false, 100.0);
+    harness.expect_send(0, SendCause::First);
+    assert_eq!(
+        harness.next(1_000_000),
+        FetchStep::Wait { until_us: None },
+        "a non-idempotent request must not be hedged"
+    );
+    harness.fetch.record_result(SendResult::MayHaveRun);
+    harness.expect_failure(FetchFailureReason::NotRepeatable, true);
 }
 
-/// A replica says that it did not run the order, or no connection could be made: another may.
+/// Guards against giving up on a request that is not idempotent although it surely did not run: the
+/// replica reports so, or no connection was made. Another replica may run it.
 #[test]
 fn non_idempotent_not_run() {
     for (result, cause) in
         [(SendResult::NotRun, SendCause::Retry), (SendResult::Unsent, SendCause::First)]
     {
-        let mut scene = FetchHarness::new(3, false, 100.0);
-        scene.expect_send(0, SendCause::First);
-        scene.fetch.record_result(result);
-        scene.expect_send(0, cause);
+        let mut harness = FetchHarness::new(3, false, 100.0);
+        harness.expect_send(0, SendCause::First);
+        harness.fetch.record_result(result);
+        harness.expect_send(0, cause);
     }
 }
 
 #[test]
 fn one_hedge() {
-    let mut scene = FetchHarness::new(3, true, 100.0);
-    scene.expect_send(0, SendCause::First);
-    assert_eq!(scene.next(14_999), FetchStep::Wait { until_us: Some(15_000) });
-    scene.expect_send(15_000, SendCause::Hedge);
-    assert_eq!(scene.next(99_000), FetchStep::Wait { until_us: None });
+    let mut harness = FetchHarness::new(3, true, 100.0);
+    harness.expect_send(0, SendCause::First);
+    assert_eq!(harness.next(14_999), FetchStep::Wait { until_us: Some(15_000) });
+    harness.expect_send(15_000, SendCause::Hedge);
+    assert_eq!(harness.next(99_000), FetchStep::Wait { until_us: None });
 }
 
-/// Replicas that fail one after the other are asked as far as the route allows.
+/// Guards against more attempts than the route allows when one replica after the other fails.
 #[test]
 fn stops_at_max_attempts() {
-    let mut scene = FetchHarness::new(4, true, 100.0);
-    scene.expect_send(0, SendCause::First);
-    scene.fetch.record_result(SendResult::MayHaveRun);
-    scene.expect_send(0, SendCause::Retry);
-    scene.fetch.record_result(SendResult::MayHaveRun);
-    scene.expect_failure(FetchFailureReason::AllTried, true);
+    let mut harness = FetchHarness::new(4, true, 100.0);
+    harness.expect_send(0, SendCause::First);
+    harness.fetch.record_result(SendResult::MayHaveRun);
+    harness.expect_send(0, SendCause::Retry);
+    harness.fetch.record_result(SendResult::MayHaveRun);
+    harness.expect_failure(FetchFailureReason::AllTried, true);
 }
 
-/// Many shards fail at once: when the budget is spent, retries stop, and first sends go on.
+/// Guards against retries beyond the budget when many shards fail at once: when the budget is spent,
+/// first attempts are still made, and retries are not.
 #[test]
 fn budget_spent() {
-    let mut scene = FetchHarness::new(3, true, 0.0);
-    scene.expect_send(0, SendCause::First);
-    scene.fetch.record_result(SendResult::NotRun);
-    scene.expect_failure(FetchFailureReason::NoBudget, false);
+    let mut harness = FetchHarness::new(3, true, 0.0);
+    harness.expect_send(0, SendCause::First);
+    harness.fetch.record_result(SendResult::NotRun);
+    harness.expect_failure(FetchFailureReason::NoBudget, false);
 }
 
-/// No replica is known: the caller hears so at once.
+/// Guards against a fetch that waits although no replica is known: it fails at once.
 #[test]
 fn no_replica() {
     FetchHarness::new(0, true, 100.0).expect_failure(FetchFailureReason::NoReplica, false);
--- a/crates/sassafrasproxy-core/tests/gathers.rs
+++ b/crates/sassafrasproxy-core/tests/gathers.rs
@@ -1,4 +1,4 @@
-//! When a query over shards is answered, and with what.
+//! Tests when a query over shards is answered, and how its parts are merged.
 
 use proptest::prelude::*;
 use sassafrasproxy_core::{
@@ -20,7 +20,7 @@
         (200, 18, 2, GatherStep::Answer),
         (10, 20, 0, GatherStep::Answer),
         (10, 18, 0, GatherStep::Answer),
-        // Too few can still come: the caller hears so at once.
+        // Too few parts can still arrive, so the gather fails at once.
         (10, 10, 7, GatherStep::GiveUp),
         (390, 17, 3, GatherStep::GiveUp),
     ];
@@ -29,18 +29,23 @@
     }
 }
 
-/// Callers that wait 50 ms and are 2 ms away, of which 5 ms are gone: the answer leaves some
-/// milliseconds before the last moment, sooner for callers that are farther away.
+/// Guards against an answer that arrives after the latency goal. The goal of 50 ms started 5 ms ago
+/// at a caller with a round trip of 2 ms: the gather stops waiting some milliseconds before the last
+/// moment, and sooner for a caller with a longer round trip.
 #[test]
 fn soft_deadlines() {
     let near_us = GatherPlan::soft_deadline_us(95_000, 50_000, 2_000, 20);
     assert!((135_000..143_000).contains(&near_us), "{near_us}");
     let far_us = GatherPlan::soft_deadline_us(95_000, 50_000, 16_000, 20);
     assert!(far_us < near_us - 14_000, "{far_us}");
-    assert_eq!(GatherPlan::soft_deadline_us(0, 10_000, 16_000, 20), 0, "no time is left at all");
+    assert_eq!(
+        GatherPlan::soft_deadline_us(0, 10_000, 16_000, 20),
+        0,
+        "the round trip alone exceeds the goal"
+    );
 }
 
-/// Some shards are away for a while, and one has no replica at all.
+/// Some shards are unavailable for a while, and one has no replica at all.
 #[test]
 fn usable_time_of_min_parts() {
     let shards = [Some(0), Some(90_000), None, Some(0), Some(40_000)];
@@ -50,7 +55,8 @@
     }
 }
 
-/// 0.75 of 20 is 15, whatever the fraction's last bit is.
+/// Guards against a rounding error that requires one part too many: 0.75 of 20 is 15, whatever the
+/// last bit of the fraction is.
 #[test]
 fn min_parts_of_coverage() {
     let cases = [(20, 0.75, 15), (20, 0.89, 18), (30, 0.89, 27), (90, 0.95, 86), (3, 0.0, 1)];
@@ -60,7 +66,8 @@
 }
 
 proptest! {
-    /// The greatest records of all parts, equal ones too, and no remainder of a part.
+    /// The result holds the greatest records of all parts, including equal ones, and no incomplete
+    /// record.
     #[test]
     fn merges_greatest_records(
         parts in prop::collection::vec(prop::collection::vec(0_u8..4, 0..100), 0..8),
--- a/crates/sassafrasproxy-core/tests/retry_budgets.rs
+++ b/crates/sassafrasproxy-core/tests/retry_budgets.rs
@@ -1,4 +1,4 @@
-//! The budget for extra sends that all nodes keep together.
+//! Tests the retry budget that all nodes keep together.
 
 #![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 
@@ -13,9 +13,9 @@
 proptest! {
     #![proptest_config(ProptestConfig::with_cases(40))]
 
-    /// Replicas fail all day, every node retries as much as it may, and processes are killed and
-    /// start again without memory of what they spent. No ten seconds may see more extra sends
-    /// than a fifth of the requests and 56 more, over all nodes.
+    /// Guards against more extra attempts than the budget allows. All replicas fail, every node
+    /// retries as much as it may, and processes restart without knowing what they spent. In any ten
+    /// seconds, the extra attempts of all nodes must not exceed a fifth of the requests plus 56.
     #[test]
     fn fleet_stays_within_budget(
         loads in prop::collection::vec(0_u32..20, NODES),
@@ -24,7 +24,7 @@
         let service = EcoString::from("s");
         let mut budgets: Vec<RetryBudget> =
             (0..NODES).map(|_| RetryBudget::new(POLICY, 0)).collect();
-        // What was sent and asked in each tenth of a second.
+        // Extra attempts and requests in each tenth of a second.
         let mut extra = Vec::new();
         let mut requests = Vec::new();
         for tick in 0..400_u64 {
@@ -34,34 +34,35 @@
                     budgets[*node] = RetryBudget::new(POLICY, now_us);
                 }
             }
-            let (mut spent, mut asked) = (0_u32, 0_u32);
+            let (mut spent, mut request_count) = (0_u32, 0_u32);
             for (budget, load) in budgets.iter_mut().zip(&loads) {
                 for _ in 0..load / 4 {
                     budget.record_request(&service, now_us);
-                    asked += 1;
+                    request_count += 1;
                 }
                 while budget.spend(&service, now_us, NODES) {
                     spent += 1;
                 }
             }
             extra.push(spent);
-            requests.push(asked);
+            requests.push(request_count);
         }
         for end in 100..400 {
             let window = end - 100..end;
             let spent: u32 = extra[window.clone()].iter().sum();
             let before = requests[end.saturating_sub(200)..end - 100].iter().sum::<u32>();
-            let asked = requests[window].iter().sum::<u32>().max(before);
-            // Each life after the first may have a quarter of a node's share of its own.
-            let lives = restarts.len() as f64 * 0.25 * 0.8 * POLICY.fixed / NODES as f64;
-            let ratio = restarts.len() as f64 * f64::from(*loads.iter().max().unwrap_or(&0)) * 5.0;
-            let most = POLICY.ratio * f64::from(asked) + POLICY.fixed + lives + ratio;
-            prop_assert!(f64::from(spent) <= most + 1.0, "{spent} of {most} at {end}");
+            let request_count = requests[window].iter().sum::<u32>().max(before);
+            // Each restarted process may spend a quarter of a node's share again.
+            let restart_share = restarts.len() as f64 * 0.25 * 0.8 * POLICY.fixed / NODES as f64;
+            let restart_requests = restarts.len() as f64 * f64::from(*loads.iter().max().unwrap_or(&0)) * 5.0;
+            let max_extra = POLICY.ratio * f64::from(request_count) + POLICY.fixed + restart_share + restart_requests;
+            prop_assert!(f64::from(spent) <= max_extra + 1.0, "{spent} of {max_extra} at {end}");
         }
     }
 }
 
-/// All processes are killed at once, right after every node has spent all it had.
+/// Guards against overspending when all processes restart at once, right after every node has spent
+/// its whole share.
 #[test]
 fn all_nodes_restart() {
     let service = EcoString::from("s");
@@ -90,11 +91,12 @@
     while budget.spend(&service, 20_000_000, NODES) {
         spent += 1;
     }
-    assert_eq!(spent, 205, "a fifth, and a node's share of the fixed part");
+    assert_eq!(spent, 205, "a fifth of the requests, plus a node's share of the fixed part");
 }
 
-/// Callers are sent to eight of 74 nodes. Replicas reset answers, and these eight have to send again;
-/// as each had a 74th of the fixed budget, their queries were lost while nine tenths of it lay unused.
+/// Guards against queries that fail for lack of retries while max_extra of the budget is unspent. Callers
+/// are sent to eight of 74 nodes, and replicas reset connections, so that these eight must retry.
+/// If each node has a 74th of the fixed budget, nine tenths of it stay unused.
 #[test]
 fn few_ingress_nodes() {
     let service = EcoString::from("s");
@@ -103,14 +105,17 @@
         let shares = budget_shares(74, 8, node < 8);
         std::iter::from_fn(|| budget.spend(&service, 20_000_000, shares).then_some(())).count()
     };
-    let senders: usize = (0..8).map(spend_all).sum();
+    let by_ingress_nodes: usize = (0..8).map(spend_all).sum();
     let all: usize = (0..74).map(spend_all).sum();
-    assert!(senders as f64 > 0.5 * POLICY.fixed, "{senders} by the senders");
+    assert!(
+        by_ingress_nodes as f64 > 0.5 * POLICY.fixed,
+        "{by_ingress_nodes} by the ingress nodes"
+    );
     assert!(all as f64 <= POLICY.fixed, "{all} without one request");
 }
 
-/// The eight nodes that callers were sent to are lost right after they spent all they had, and eight
-/// others take over: both together stay within the budget.
+/// Guards against overspending when the ingress nodes change. Eight nodes fail right after they spent
+/// their whole shares, and eight others take over: together they stay within the budget.
 #[test]
 fn ingress_nodes_change() {
     let service = EcoString::from("s");
@@ -129,7 +134,7 @@
     assert!(f64::from(spent) <= POLICY.fixed, "{spent} without one request");
 }
 
-/// Callers are sent to all nodes: each has the same share.
+/// If callers are sent to all nodes, each has the same share.
 #[test]
 fn all_nodes_ingress() {
     assert_eq!(budget_shares(8, 8, true), 8);
--- a/crates/sassafrasproxy-core/tests/rollout_model/mod.rs
+++ b/crates/sassafrasproxy-core/tests/rollout_model/mod.rs
@@ -1,7 +1,7 @@
-//! Roll-outs played in virtual time: nodes with the real reducers around a modelled store and
-//! modelled replicas of two versions.
+//! Simulates rollouts in virtual time: nodes with the production state machines, and a modelled store
+//! and modelled replicas of two versions.
 
-#![allow(dead_code, clippy::unwrap_used, reason = "each user takes its part")]
+#![allow(dead_code, clippy::unwrap_used, reason = "each user of the module uses only some items")]
 
 use std::collections::BTreeMap;
 
@@ -19,80 +19,81 @@
 
 use crate::nodes::{Fleet, SECOND_US, node_name};
 
-/// How finely time passes.
+/// The step of the virtual time, in microseconds.
 const STEP_US: u64 = 10_000;
 
-/// How often nodes tell what they counted, and the decider looks.
+/// The interval at which nodes send reports and coordinators run, in microseconds.
 const REPORT_INTERVAL_US: u64 = 250_000;
 
-/// How long the fleet runs before the order: nodes know each other by then.
+/// The time that the fleet runs before the simulation starts, so that the nodes know each other.
 const WARM_UP_US: u64 = 5 * SECOND_US;
 
-/// How long the play goes on after the period.
+/// The time that the simulation continues after the period, in microseconds.
 const RUN_AFTER_PERIOD_US: u64 = 8 * SECOND_US;
 
-/// How long a replica usually works, in microseconds.
+/// The typical time that a replica takes for a request, in microseconds.
 const WORK_US: f64 = 40_000.0;
 
-/// The longest that a change of the store takes to reach a node, in microseconds.
+/// The maximum time that a change in the store takes to reach a node, in microseconds.
 const MAX_WATCH_DELAY_US: u64 = 400_000;
 
+/// The number of routes to the service.
 const ROUTES: u8 = 3;
 
-/// How the new version is.
+/// The behavior of the new version.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum VersionBehavior {
     Good,
-    /// It fails a part of its requests from a time after the order on, in microseconds.
+    /// It fails a share of its requests, from `from_us` microseconds after the order.
     Fails {
         share: f64,
         from_us: u64,
     },
-    /// It is several times slower from a time on.
+    /// It is slower by a factor, from `from_us` microseconds after the order.
     Slow {
-        times: f64,
+        factor: f64,
         from_us: u64,
     },
-    /// It fails a part of what it runs beside other requests.
+    /// It fails a share of the requests that a replica runs concurrently with others.
     FailsUnderLoad {
         share: f64,
     },
-    /// It fails a part of one route's requests.
+    /// It fails a share of one route's requests.
     FailsOneRoute {
         share: f64,
     },
 }
 
-/// Trouble that has nothing to do with the version.
+/// A fault that is unrelated to the new version.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Fault {
     None,
-    /// One replica of the new version fails two in five.
+    /// One replica of the new version fails two in five requests.
     OneNewReplicaFails,
-    /// One replica of the old version fails two in five.
+    /// One replica of the old version fails two in five requests.
     OneOldReplicaFails,
-    /// A part of all replicas' answers is lost.
+    /// A share of the answers of all replicas is lost.
     ReplicaAnswersLost,
-    /// The store is down for a while.
+    /// The store is unavailable for a while.
     StoreDown,
-    /// The store does what it is asked, and loses the answers of writes.
+    /// The store loses a share of the writes without an answer.
     StoreAnswersLost,
-    /// The node that decides is killed.
+    /// The coordinator is killed.
     CoordinatorKilled,
-    /// The store turns a third of the nodes away.
+    /// The store rejects a third of the nodes.
     StoreRejectsNodes,
-    /// All replicas stand still now and then.
+    /// All replicas pause from time to time.
     ReplicaPauses,
 }
 
-/// What is played.
+/// The parameters of a simulation.
 #[derive(Debug, Clone)]
 pub struct Scenario {
     pub nodes: usize,
-    /// How many nodes callers are sent to.
+    /// The number of nodes that callers are sent to.
     pub ingress_nodes: usize,
     pub replicas: usize,
-    pub per_s: f64,
+    pub requests_per_s: f64,
     pub period_ms: u64,
     pub behavior: VersionBehavior,
     pub fault: Fault,
@@ -100,27 +101,30 @@
     pub seed: u64,
 }
 
-/// What came of it.
+/// The result of a simulation.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct RolloutResult {
+    /// The final phase, if the rollout reached one.
     pub end: Option<RolloutPhase>,
-    /// When it ended, in parts of the period after the order.
+    /// The time from the order to the end, as a fraction of the period.
     pub end_fraction: f64,
-    /// Requests that reached the service until the period was over, and those of the new version.
+    /// Attempts on the service from the order to the end of the period.
     pub arrivals: u64,
+    /// Those of these attempts that were made on the new version.
     pub exposed_requests: u64,
-    /// Bad answers of the new version until it ended.
+    /// Failed answers of a bad new version.
     pub bad_answers: u64,
-    /// Sends to the new version later than five seconds after its 50th bad answer.
+    /// Attempts on the new version later than five seconds after its 50th bad answer.
     pub late_sends: u64,
-    /// Sends to the old version after the end, if it was completed; to the new one otherwise.
+    /// Attempts after the end on the version that may get none: the old one if the rollout was
+    /// completed, the new one if it was rolled back.
     pub wrong_sends: u64,
-    /// Sends to the version that had no order, before there was one.
+    /// Attempts on the new version before the order.
     pub sends_before_order: u64,
 }
 
 impl RolloutResult {
-    /// How many requests a bad version might have got.
+    /// Returns the maximum number of requests that a bad version may get.
     pub fn max_exposure(&self, policy: &RolloutPolicy) -> f64 {
         policy.exposure_share * self.arrivals as f64 + policy.exposure_slack
     }
@@ -131,7 +135,7 @@
     pool: UpstreamPool,
     coordinator: RolloutCoordinator,
     throttle: ReportThrottle,
-    /// What the store holds that has not come yet, by when it comes.
+    /// Changes in the store that have not reached the node yet, with the time at which they do.
     pending_events: Vec<(u64, DiscoveryEvent)>,
     is_alive: bool,
 }
@@ -153,7 +157,7 @@
     is_first: bool,
 }
 
-/// One play.
+/// The state of one simulation.
 struct RolloutSimulation {
     scenario: Scenario,
     rng: StdRng,
@@ -172,24 +176,24 @@
     result: RolloutResult,
 }
 
-/// Plays a scene to its end.
-pub fn simulate(scene: Scenario) -> RolloutResult {
-    let mut play = RolloutSimulation::new(scene);
-    play.run();
-    play.result
+/// Runs a scenario to its end, and returns the result.
+pub fn simulate(scenario: Scenario) -> RolloutResult {
+    let mut simulation = RolloutSimulation::new(scenario);
+    simulation.run();
+    simulation.result
 }
 
 impl RolloutSimulation {
-    fn new(scene: Scenario) -> Self {
-        let rng = StdRng::seed_from_u64(scene.seed);
-        let senders = scene.ingress_nodes;
-        let size = move |at| if at < senders { 500 } else { 120 };
-        let mut fleet = Fleet::with_cpu(scene.nodes, size);
+    fn new(scenario: Scenario) -> Self {
+        let rng = StdRng::seed_from_u64(scenario.seed);
+        let ingress_nodes = scenario.ingress_nodes;
+        let cpu_millis = move |at| if at < ingress_nodes { 500 } else { 120 };
+        let mut fleet = Fleet::with_cpu(scenario.nodes, cpu_millis);
         fleet.run_us(WARM_UP_US);
-        let mut play = Self {
+        let mut simulation = Self {
             rng,
             nodes: Vec::new(),
-            incarnations: vec![0; scene.nodes],
+            incarnations: vec![0; scenario.nodes],
             replicas: Vec::new(),
             sends: BTreeMap::new(),
             next_send_id: 0,
@@ -201,19 +205,19 @@
             ended_us: None,
             result: RolloutResult::default(),
             fleet,
-            scenario: scene,
+            scenario,
         };
-        for at in 0..play.scenario.replicas {
-            play.add_replica("v1", at);
+        for at in 0..simulation.scenario.replicas {
+            simulation.add_replica("v1", at);
         }
-        for at in 0..play.scenario.nodes {
-            let node = play.node(at);
-            play.nodes.push(node);
+        for at in 0..simulation.scenario.nodes {
+            let node = simulation.node(at);
+            simulation.nodes.push(node);
         }
-        for at in 0..play.scenario.nodes {
-            play.start(at);
+        for at in 0..simulation.scenario.nodes {
+            simulation.start(at);
         }
-        play
+        simulation
     }
 
     fn add_replica(&mut self, version: &str, at: usize) {
@@ -229,29 +233,24 @@
             is_draining: false,
             cold_for_ms: 0,
         };
-        let is_grey = match self.scenario.fault {
+        let is_faulty = match self.scenario.fault {
             Fault::OneNewReplicaFails => version == "v2" && at == 0,
             Fault::OneOldReplicaFails => version == "v1" && at == 0,
             _ => false,
         };
-        let fails = match self.scenario.fault {
+        let failure_rate = match self.scenario.fault {
             Fault::ReplicaAnswersLost => 0.03,
-            _ if is_grey => 0.4,
+            _ if is_faulty => 0.4,
             _ => 0.002,
         };
-        let pause_us = self.rng.random_range(0..4_500_000);
-        self.replicas.push(Replica {
-            entry,
-            running: 0,
-            failure_rate: fails,
-            pause_phase_us: pause_us,
-        });
+        let pause_phase_us = self.rng.random_range(0..4_500_000);
+        self.replicas.push(Replica { entry, running: 0, failure_rate, pause_phase_us });
     }
 
     fn node(&self, at: usize) -> Node {
-        let scope = sassafrasproxy_core::RolloutParticipant { node: node_name(at) };
+        let participant = sassafrasproxy_core::RolloutParticipant { node: node_name(at) };
         Node {
-            discovery: Discovery::new(Some(scope)),
+            discovery: Discovery::new(Some(participant)),
             pool: UpstreamPool::new(PoolSettings {
                 failure_domain: eco_format!("domain-{}", at % 4),
                 warmup_factor: 1.5,
@@ -264,7 +263,7 @@
         }
     }
 
-    /// A node lists the store.
+    /// Lists the store on behalf of a node, as the node does when it starts.
     fn start(&mut self, at: usize) {
         let revision = self.revision;
         let configuration = RouteConfiguration {
@@ -274,29 +273,30 @@
             caller_limits: CallerLimits::default(),
         };
         let mut events = vec![DiscoveryEvent::ListStarted { revision }];
-        let mut facts = vec![(RegistryEntry::Configuration(configuration), 1)];
-        facts
+        let mut entries = vec![(RegistryEntry::Configuration(configuration), 1)];
+        entries
             .extend(self.replicas.iter().map(|one| (RegistryEntry::Replica(one.entry.clone()), 2)));
         let order = self.order.iter().cloned();
-        facts.extend(order.map(|(order, revision)| (RegistryEntry::RolloutOrder(order), revision)));
+        entries
+            .extend(order.map(|(order, revision)| (RegistryEntry::RolloutOrder(order), revision)));
         let record = self.record.iter().cloned();
-        facts.extend(
+        entries.extend(
             record.map(|(record, revision)| (RegistryEntry::RolloutRecord(record), revision)),
         );
-        let seen = |(fact, revision)| DiscoveryEvent::EntrySeen { entry: fact, revision };
-        events.extend(facts.into_iter().map(seen));
+        let seen = |(entry, revision)| DiscoveryEvent::EntrySeen { entry, revision };
+        events.extend(entries.into_iter().map(seen));
         events.push(DiscoveryEvent::ListEnded);
         self.discover(at, events);
     }
 
     fn discover(&mut self, at: usize, events: Vec<DiscoveryEvent>) {
-        let (now_us, senders) = (self.fleet.now_us, self.scenario.ingress_nodes);
+        let (now_us, ingress_nodes) = (self.fleet.now_us, self.scenario.ingress_nodes);
         let node = &mut self.nodes[at];
         for event in events {
             node.discovery.step(now_us, event);
         }
         if let Some(catalogue) = node.discovery.take_catalogue() {
-            node.pool.update(now_us, &catalogue, senders);
+            node.pool.update(now_us, &catalogue, ingress_nodes);
         }
     }
 
@@ -312,12 +312,12 @@
         self.ordered_us = start_us + SECOND_US;
         let period_us = self.scenario.period_ms * 1_000;
         let end_us = self.ordered_us + period_us + RUN_AFTER_PERIOD_US;
-        let gap = Exp::new(self.scenario.per_s).unwrap();
+        let gap = Exp::new(self.scenario.requests_per_s).unwrap();
         let mut arrival_us = start_us;
-        let mut trial_us = start_us;
+        let mut report_us = start_us;
         let mut tick_us = start_us;
-        let trouble_us = self.ordered_us + self.rng.random_range(0..period_us * 7 / 10);
-        let mut is_troubled = false;
+        let fault_us = self.ordered_us + self.rng.random_range(0..period_us * 7 / 10);
+        let mut is_fault_injected = false;
         while self.fleet.now_us < end_us {
             let now_us = self.fleet.now_us + STEP_US;
             if now_us >= tick_us {
@@ -329,8 +329,8 @@
             if self.order.is_none() && now_us >= self.ordered_us {
                 self.write_order();
             }
-            if !is_troubled && now_us >= trouble_us {
-                is_troubled = true;
+            if !is_fault_injected && now_us >= fault_us {
+                is_fault_injected = true;
                 self.inject_fault();
             }
             self.deliver_events();
@@ -339,8 +339,8 @@
                 self.arrive();
                 arrival_us += (gap.sample(&mut self.rng) * 1e6) as u64;
             }
-            if now_us >= trial_us {
-                trial_us = now_us + REPORT_INTERVAL_US;
+            if now_us >= report_us {
+                report_us = now_us + REPORT_INTERVAL_US;
                 self.send_reports();
                 self.run_coordinators();
             }
@@ -359,19 +359,19 @@
         self.publish(RegistryEntry::RolloutOrder(order));
     }
 
-    /// Lets all nodes learn a fact that was just written.
-    fn publish(&mut self, fact: RegistryEntry) {
+    /// Schedules the delivery of an entry that was just written to all nodes.
+    fn publish(&mut self, entry: RegistryEntry) {
         let revision = self.revision;
         let now_us = self.fleet.now_us;
-        let is_down_until = self.store_down_until_us();
+        let down_until_us = self.store_down_until_us();
         for at in 0..self.nodes.len() {
-            let late_us = self.rng.random_range(10_000..MAX_WATCH_DELAY_US);
-            let seen = DiscoveryEvent::EntrySeen { entry: fact.clone(), revision };
-            self.nodes[at].pending_events.push((is_down_until.max(now_us) + late_us, seen));
+            let delay_us = self.rng.random_range(10_000..MAX_WATCH_DELAY_US);
+            let seen = DiscoveryEvent::EntrySeen { entry: entry.clone(), revision };
+            self.nodes[at].pending_events.push((down_until_us.max(now_us) + delay_us, seen));
         }
     }
 
-    /// Until when the store is down, if the scene has it down and it is now.
+    /// Returns the time until which the store is unavailable, in microseconds; 0 if it is available.
     fn store_down_until_us(&self) -> u64 {
         let from_us = self.ordered_us + self.scenario.period_ms * 250;
         let until_us = from_us + 4_500_000;
@@ -385,9 +385,9 @@
             return;
         }
         let now_us = self.fleet.now_us;
-        let decider = (0..self.nodes.len())
+        let coordinator = (0..self.nodes.len())
             .find(|at| self.fleet.nodes[*at].rollout_nodes(now_us).rank == Some(0));
-        let Some(at) = decider else { return };
+        let Some(at) = coordinator else { return };
         self.nodes[at].is_alive = false;
         self.fleet.offline.insert(at);
     }
@@ -398,9 +398,9 @@
             if !self.nodes[at].is_alive {
                 continue;
             }
-            let news = std::mem::take(&mut self.nodes[at].pending_events);
+            let pending = std::mem::take(&mut self.nodes[at].pending_events);
             let (due, later): (Vec<_>, Vec<_>) =
-                news.into_iter().partition(|(at_us, _)| *at_us <= now_us);
+                pending.into_iter().partition(|(at_us, _)| *at_us <= now_us);
             self.nodes[at].pending_events = later;
             if !due.is_empty() {
                 self.discover(at, due.into_iter().map(|(_, event)| event).collect());
@@ -427,9 +427,8 @@
         let (outcome, took_us) = self.simulate_run(at, route);
         self.replicas[at].running += 1;
         self.next_send_id += 1;
-        let life = self.incarnations[node];
-        let sent =
-            SimulatedSend { node, incarnation: life, replica: at, send, route, outcome, is_first };
+        let incarnation = self.incarnations[node];
+        let sent = SimulatedSend { node, incarnation, replica: at, send, route, outcome, is_first };
         self.sends.insert((now_us + took_us, self.next_send_id), sent);
     }
 
@@ -460,36 +459,38 @@
         self.replicas[at].entry.version == "v2"
     }
 
-    /// How a replica answers, and how long it takes.
+    /// Returns the outcome of a request on a replica, and the time that it takes in microseconds.
     fn simulate_run(&mut self, at: usize, route: u8) -> (SendOutcome, u64) {
         let since_us = self.fleet.now_us.saturating_sub(self.ordered_us);
         let is_new = self.is_new(at);
-        let mut fails = self.replicas[at].failure_rate;
-        let mut times = self.rng.random_range(0.6..1.5);
+        let mut failure_rate = self.replicas[at].failure_rate;
+        let mut time_factor = self.rng.random_range(0.6..1.5);
         if self.rng.random_bool(0.01) {
-            times *= 5.0;
+            time_factor *= 5.0;
         }
         match self.scenario.behavior {
             VersionBehavior::Fails { share, from_us } if is_new && since_us >= from_us => {
-                fails += share;
+                failure_rate += share;
             }
-            VersionBehavior::Slow { times: slower, from_us } if is_new && since_us >= from_us => {
-                times *= slower;
+            VersionBehavior::Slow { factor, from_us } if is_new && since_us >= from_us => {
+                time_factor *= factor;
             }
             VersionBehavior::FailsUnderLoad { share }
                 if is_new && self.replicas[at].running > 0 =>
             {
-                fails += share;
+                failure_rate += share;
+            }
+            VersionBehavior::FailsOneRoute { share } if is_new && route == 0 => {
+                failure_rate += share;
             }
-            VersionBehavior::FailsOneRoute { share } if is_new && route == 0 => fails += share,
             _ => {}
         }
-        let mut took_us = (WORK_US * times) as u64;
+        let mut took_us = (WORK_US * time_factor) as u64;
         if self.scenario.fault == Fault::ReplicaPauses {
             let phase = (self.fleet.now_us + self.replicas[at].pause_phase_us) % 4_500_000;
             took_us += 200_000_u64.saturating_sub(phase);
         }
-        let is_failed = self.rng.random_bool(fails.min(1.0));
+        let is_failed = self.rng.random_bool(failure_rate.min(1.0));
         (if is_failed { SendOutcome::Faulty } else { SendOutcome::Answered }, took_us)
     }
 
@@ -554,9 +555,9 @@
                 continue;
             }
             let mut nodes = self.fleet.nodes[at].rollout_nodes(now_us);
-            let is_turned_away = self.scenario.fault == Fault::StoreRejectsNodes && at % 3 == 0;
-            let is_away = is_turned_away || self.store_down_until_us() > 0;
-            self.fleet.nodes[at].set_store_unavailable(is_away);
+            let is_rejected = self.scenario.fault == Fault::StoreRejectsNodes && at % 3 == 0;
+            let is_unavailable = is_rejected || self.store_down_until_us() > 0;
+            self.fleet.nodes[at].set_store_unavailable(is_unavailable);
             nodes.ingress_nodes.truncate(self.scenario.ingress_nodes);
             let policy = self.scenario.policy;
             let effects = self.nodes[at].coordinator.step(now_us, &states, &nodes, &policy);
@@ -569,7 +570,7 @@
                         self.fleet.deliver(at, sends);
                     }
                     RolloutEffect::Write { record, expected_revision } => {
-                        if !is_turned_away && self.store_down_until_us() == 0 {
+                        if !is_rejected && self.store_down_until_us() == 0 {
                             self.write(record, expected_revision);
                         }
                     }
@@ -579,9 +580,9 @@
     }
 
     fn write(&mut self, record: RolloutRecord, expected_revision: u64) {
-        let known = self.record.as_ref().map_or(0, |(_, revision)| *revision);
+        let revision = self.record.as_ref().map_or(0, |(_, revision)| *revision);
         let is_lost = self.scenario.fault == Fault::StoreAnswersLost && self.rng.random_bool(0.3);
-        if known != expected_revision || is_lost {
+        if revision != expected_revision || is_lost {
             return;
         }
         self.revision += 1;
@@ -606,23 +607,23 @@
     }
 }
 
-/// A scene with everything drawn from a seed.
+/// Returns a scenario whose parameters are drawn from a seed.
 pub fn random_scenario(seed: u64, is_bad: bool, policy: RolloutPolicy) -> Scenario {
     let mut rng = StdRng::seed_from_u64(seed);
     let period_ms = rng.random_range(8_000..20_000);
     let share = rng.random_range(0.25..0.6);
     let late_us = rng.random_range(2_000_000..period_ms * 450);
-    let times = rng.random_range(3.0..6.0);
-    let manner = match rng.random_range(0..6) {
+    let factor = rng.random_range(3.0..6.0);
+    let behavior = match rng.random_range(0..6) {
         _ if !is_bad => VersionBehavior::Good,
         0 => VersionBehavior::Fails { share, from_us: 0 },
         1 => VersionBehavior::Fails { share, from_us: late_us },
-        2 => VersionBehavior::Slow { times, from_us: 0 },
-        3 => VersionBehavior::Slow { times, from_us: late_us },
+        2 => VersionBehavior::Slow { factor, from_us: 0 },
+        3 => VersionBehavior::Slow { factor, from_us: late_us },
         4 => VersionBehavior::FailsUnderLoad { share },
         _ => VersionBehavior::FailsOneRoute { share: share.max(0.4) },
     };
-    let troubles = [
+    let faults = [
         Fault::None,
         Fault::OneNewReplicaFails,
         Fault::OneOldReplicaFails,
@@ -633,23 +634,23 @@
         Fault::StoreRejectsNodes,
         Fault::ReplicaPauses,
     ];
-    let senders = rng.random_range(7..12);
+    let ingress_nodes = rng.random_range(7..12);
     Scenario {
-        nodes: senders + rng.random_range(0..40),
-        ingress_nodes: senders,
+        nodes: ingress_nodes + rng.random_range(0..40),
+        ingress_nodes,
         replicas: rng.random_range(2..7),
-        per_s: [8.0, 20.0, 40.0, 80.0][rng.random_range(0..4)],
+        requests_per_s: [8.0, 20.0, 40.0, 80.0][rng.random_range(0..4)],
         period_ms,
-        behavior: manner,
-        fault: troubles[rng.random_range(0..troubles.len())],
+        behavior,
+        fault: faults[rng.random_range(0..faults.len())],
         policy,
         seed,
     }
 }
 
-/// Names for a table.
-pub fn behavior_name(manner: VersionBehavior) -> &'static str {
-    match manner {
+/// Returns the name of a behavior for tables.
+pub fn behavior_name(behavior: VersionBehavior) -> &'static str {
+    match behavior {
         VersionBehavior::Good => "good",
         VersionBehavior::Fails { from_us: 0, .. } => "fails at once",
         VersionBehavior::Fails { .. } => "fails later",
--- a/crates/sassafrasproxy-core/tests/rollouts.rs
+++ b/crates/sassafrasproxy-core/tests/rollouts.rs
@@ -1,4 +1,4 @@
-//! Moving a service to a new version, played with the real reducers of whole fleets.
+//! Tests rollouts by simulating whole fleets with the production state machines.
 
 #![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 
@@ -19,15 +19,15 @@
     RolloutPolicy::new(0.1, 50.0)
 }
 
-fn scenario(manner: VersionBehavior, trouble: Fault) -> Scenario {
+fn scenario(behavior: VersionBehavior, fault: Fault) -> Scenario {
     Scenario {
         nodes: 20,
         ingress_nodes: 8,
         replicas: 3,
-        per_s: 40.0,
+        requests_per_s: 40.0,
         period_ms: 12_000,
-        behavior: manner,
-        fault: trouble,
+        behavior,
+        fault,
         policy: policy(),
         seed: 7,
     }
@@ -48,27 +48,25 @@
     }
 }
 
-/// What must hold for a version that is bad.
-fn assert_rolled_back(played: &RolloutResult, what: &str) {
-    assert_eq!(played.end, Some(RolloutPhase::RolledBack), "{what}: {played:?}");
-    assert!(played.exposed_requests as f64 <= played.max_exposure(&policy()), "{what}: {played:?}");
-    assert_eq!(played.late_sends, 0, "{what}: {played:?}");
-    assert_eq!(played.wrong_sends, 0, "{what}: {played:?}");
-    assert_eq!(played.sends_before_order, 0, "{what}: {played:?}");
+/// Asserts that a bad version was rolled back in time and within its exposure.
+fn assert_rolled_back(result: &RolloutResult, case: &str) {
+    assert_eq!(result.end, Some(RolloutPhase::RolledBack), "{case}: {result:?}");
+    assert!(result.exposed_requests as f64 <= result.max_exposure(&policy()), "{case}: {result:?}");
+    assert_eq!(result.late_sends, 0, "{case}: {result:?}");
+    assert_eq!(result.wrong_sends, 0, "{case}: {result:?}");
+    assert_eq!(result.sends_before_order, 0, "{case}: {result:?}");
 }
 
-/// A version that fails, at once or later, gets a bounded number of requests, however large the fleet.
+/// Guards against an unbounded exposure of a version that fails from the start or later: the bound
+/// holds for any size of the fleet.
 #[test]
 fn failing_version() {
-    for (nodes, senders) in [(8, 8), (65, 8), (300, 24)] {
+    for (nodes, ingress_nodes) in [(8, 8), (65, 8), (300, 24)] {
         for from_us in [0, 5_000_000] {
-            let manner = VersionBehavior::Fails { share: 0.33, from_us };
-            let played = simulate(Scenario {
-                nodes,
-                ingress_nodes: senders,
-                ..scenario(manner, Fault::None)
-            });
-            assert_rolled_back(&played, &format!("{nodes} nodes, from {from_us}"));
+            let behavior = VersionBehavior::Fails { share: 0.33, from_us };
+            let result =
+                simulate(Scenario { nodes, ingress_nodes, ..scenario(behavior, Fault::None) });
+            assert_rolled_back(&result, &format!("{nodes} nodes, from {from_us}"));
         }
     }
 }
@@ -76,47 +74,50 @@
 #[test]
 fn slow_version() {
     for from_us in [0, 4_000_000] {
-        let manner = VersionBehavior::Slow { times: 4.0, from_us };
-        assert_rolled_back(&simulate(scenario(manner, Fault::None)), "slow");
+        let behavior = VersionBehavior::Slow { factor: 4.0, from_us };
+        assert_rolled_back(&simulate(scenario(behavior, Fault::None)), "slow");
     }
 }
 
-/// One route of three fails: all requests together look nearly healthy.
+/// Guards against missing a version that fails on one of three routes only, because its requests look
+/// nearly healthy when all routes are counted together.
 #[test]
 fn one_bad_route() {
-    let manner = VersionBehavior::FailsOneRoute { share: 0.5 };
-    assert_rolled_back(&simulate(scenario(manner, Fault::None)), "one route");
+    let behavior = VersionBehavior::FailsOneRoute { share: 0.5 };
+    assert_rolled_back(&simulate(scenario(behavior, Fault::None)), "one route");
 }
 
-/// A good version is completed in time, and nothing reaches the old replicas once they may stop.
+/// Guards against a late completion of a good version, and against requests to the old replicas after
+/// they may be stopped.
 #[test]
 fn good_version() {
-    for (nodes, senders) in [(8, 8), (65, 8), (300, 24)] {
-        let played = simulate(Scenario {
+    for (nodes, ingress_nodes) in [(8, 8), (65, 8), (300, 24)] {
+        let result = simulate(Scenario {
             nodes,
-            ingress_nodes: senders,
+            ingress_nodes,
             ..scenario(VersionBehavior::Good, Fault::None)
         });
-        assert_eq!(played.end, Some(RolloutPhase::Completed), "{nodes} nodes: {played:?}");
-        assert!(played.end_fraction <= 0.8, "{nodes} nodes: {played:?}");
-        assert_eq!(played.wrong_sends, 0, "{nodes} nodes: {played:?}");
-        assert_eq!(played.sends_before_order, 0, "{nodes} nodes: {played:?}");
+        assert_eq!(result.end, Some(RolloutPhase::Completed), "{nodes} nodes: {result:?}");
+        assert!(result.end_fraction <= 0.8, "{nodes} nodes: {result:?}");
+        assert_eq!(result.wrong_sends, 0, "{nodes} nodes: {result:?}");
+        assert_eq!(result.sends_before_order, 0, "{nodes} nodes: {result:?}");
     }
 }
 
-/// A single replica that fails by itself, of either version, is no reason to roll a version back.
+/// Guards against rolling back a good version because of a single failing replica of either version.
 #[test]
 fn one_failing_replica() {
-    for trouble in [Fault::OneNewReplicaFails, Fault::OneOldReplicaFails] {
-        let played = simulate(scenario(VersionBehavior::Good, trouble));
-        assert_eq!(played.end, Some(RolloutPhase::Completed), "{trouble:?}: {played:?}");
+    for fault in [Fault::OneNewReplicaFails, Fault::OneOldReplicaFails] {
+        let result = simulate(scenario(VersionBehavior::Good, fault));
+        assert_eq!(result.end, Some(RolloutPhase::Completed), "{fault:?}: {result:?}");
     }
 }
 
-/// The store, the deciding node or some nodes fail meanwhile: a bad version is still held back.
+/// Guards against promoting a bad version while the store, the coordinator, some nodes or the replicas
+/// have faults of their own.
 #[test]
 fn faults_during_rollout() {
-    let troubles = [
+    let faults = [
         Fault::StoreDown,
         Fault::StoreAnswersLost,
         Fault::CoordinatorKilled,
@@ -124,58 +125,60 @@
         Fault::ReplicaPauses,
         Fault::ReplicaAnswersLost,
     ];
-    for trouble in troubles {
-        let manner = VersionBehavior::Fails { share: 0.4, from_us: 2_000_000 };
-        assert_rolled_back(&simulate(scenario(manner, trouble)), &format!("{trouble:?}"));
+    for fault in faults {
+        let behavior = VersionBehavior::Fails { share: 0.4, from_us: 2_000_000 };
+        assert_rolled_back(&simulate(scenario(behavior, fault)), &format!("{fault:?}"));
     }
 }
 
-/// A good version is completed although the deciding node dies.
+/// Guards against a rollout that stops when the coordinator is killed: another node completes it.
 #[test]
 fn coordinator_killed() {
-    let played = simulate(scenario(VersionBehavior::Good, Fault::CoordinatorKilled));
-    assert_eq!(played.end, Some(RolloutPhase::Completed), "{played:?}");
+    let result = simulate(scenario(VersionBehavior::Good, Fault::CoordinatorKilled));
+    assert_eq!(result.end, Some(RolloutPhase::Completed), "{result:?}");
 }
 
-/// The rule for a bad version of a drawn scene, whatever is bad about it.
+/// Asserts that the exposure of the bad version in a random scenario stays bounded.
 fn assert_exposure_bounded(seed: u64) {
-    let drawn = random_scenario(seed, true, policy());
-    let played = simulate(drawn.clone());
-    let bound = played.max_exposure(&policy());
-    assert!(played.exposed_requests as f64 <= bound, "{drawn:?}: {played:?}");
-    assert_eq!(played.late_sends, 0, "{drawn:?}: {played:?}");
-    assert_eq!(played.sends_before_order, 0, "{drawn:?}: {played:?}");
+    let scenario = random_scenario(seed, true, policy());
+    let result = simulate(scenario.clone());
+    let bound = result.max_exposure(&policy());
+    assert!(result.exposed_requests as f64 <= bound, "{scenario:?}: {result:?}");
+    assert_eq!(result.late_sends, 0, "{scenario:?}: {result:?}");
+    assert_eq!(result.sends_before_order, 0, "{scenario:?}: {result:?}");
 }
 
-/// Whatever the trouble beside it, a version that fails or is slow is never exposed beyond the bound.
+/// Guards against an exposure beyond the bound when another fault hides that a version fails or is
+/// slow.
 #[test]
 fn exposure_by_seed() {
-    let is_load = |seed: &u64| {
-        let manner = random_scenario(*seed, true, policy()).behavior;
-        matches!(manner, VersionBehavior::FailsUnderLoad { .. })
+    let fails_under_load = |seed: &u64| {
+        let behavior = random_scenario(*seed, true, policy()).behavior;
+        matches!(behavior, VersionBehavior::FailsUnderLoad { .. })
     };
-    (1..=60).filter(|seed| !is_load(seed)).for_each(assert_exposure_bounded);
+    (1..=60).filter(|seed| !fails_under_load(seed)).for_each(assert_exposure_bounded);
 }
 
-/// A version that fails a quarter late in the trial must not look good until it is promoted.
+/// Guards against promoting a version that starts to fail a quarter of its requests late in the trial.
 #[test]
 fn late_failure() {
     assert_exposure_bounded(285);
 }
 
-/// A version that fails only what it runs beside other requests is found where requests are few, too.
+/// Guards against missing a version that fails only requests that run concurrently with others, while
+/// the request rate is low.
 #[test]
 fn failure_under_load() {
     assert_exposure_bounded(27);
 }
 
-/// A version that fails on one route is found where requests are few, too.
+/// Guards against missing a version that fails on one route, while the request rate is low.
 #[test]
 fn rare_route_fails() {
     assert_exposure_bounded(133);
 }
 
-/// The same where not even three requests a second take the route.
+/// Guards against missing a version that fails on a route that fewer than three requests a second use.
 #[test]
 fn rarest_route_fails() {
     assert_exposure_bounded(234);
@@ -201,7 +204,8 @@
     assert_eq!(sent, [0, 2, 4, 6]);
 }
 
-/// A node that started after the order may have used its permits in the life before.
+/// Guards against spending permits twice: a node that started after the order may have used them in
+/// its previous process.
 #[test]
 fn no_permits_after_restart() {
     let grant = TrialGrant {
@@ -224,12 +228,12 @@
     let versions = service_versions(None, false, listed.into_iter());
     assert_eq!(versions.in_use.as_deref(), Some("v1"));
     assert_eq!(versions.on_trial, None);
-    // Where the service has only that version, it is the one in use.
+    // If the service has only that version, it is in use.
     let versions = service_versions(None, false, [(&new, 20)].into_iter());
     assert_eq!(versions.in_use.as_deref(), Some("v2"));
 }
 
-/// The old replicas are away for a moment: a version that was rolled back stays out.
+/// Guards against using a version that was rolled back while no replica of the old version is listed.
 #[test]
 fn rolled_back_version_unused() {
     let new = "v2".into();
@@ -238,7 +242,8 @@
     assert_eq!(versions.in_use.as_deref(), Some("v1"));
 }
 
-/// A stop that came from a peer counts before the store says so, but not against its last word.
+/// Guards against requests to a bad version after a peer announced the stop and before the store's
+/// record says so. A record with a final phase takes precedence over the stop.
 #[test]
 fn stopped_by_peer() {
     let (old, new) = ("v1".into(), "v2".into());
@@ -256,45 +261,47 @@
     TrialReport { order_revision: 9, counts: counts.to_vec() }
 }
 
-fn count(is_on_trial: bool, replicas: u8, ended: u32, failed: u32) -> TrialCount {
-    TrialCount { is_on_trial, replica_class: replicas, route_class: 0, ended, failed, slow: 0 }
+fn count(is_on_trial: bool, replica_class: u8, ended: u32, failed: u32) -> TrialCount {
+    TrialCount { is_on_trial, replica_class, route_class: 0, ended, failed, slow: 0 }
 }
 
-/// Trouble that both versions meet alike says nothing against the new one.
+/// Guards against rolling back a version for failures that both versions have at the same rate.
 #[test]
 fn both_versions_fail() {
-    let mut judge = TrialAnalysis::default();
-    judge.add_report("vm-1", &report(&[count(false, 0, 200, 60)]));
-    judge.add_report("vm-2", &report(&[count(true, 1, 10, 3), count(true, 2, 10, 3)]));
-    assert_eq!(judge.verdict(2), TrialVerdict::Good);
+    let mut analysis = TrialAnalysis::default();
+    analysis.add_report("vm-1", &report(&[count(false, 0, 200, 60)]));
+    analysis.add_report("vm-2", &report(&[count(true, 1, 10, 3), count(true, 2, 10, 3)]));
+    assert_eq!(analysis.verdict(2), TrialVerdict::Good);
 }
 
-/// A datagram that overtook another one must not count twice.
+/// Guards against counting a report twice when datagrams arrive out of order or repeatedly.
 #[test]
 fn reports_out_of_order() {
-    let mut judge = TrialAnalysis::default();
+    let mut analysis = TrialAnalysis::default();
     let later = report(&[count(true, 1, 4, 1), count(true, 2, 4, 1)]);
-    judge.add_report("vm-1", &later);
-    judge.add_report("vm-1", &report(&[count(true, 1, 2, 1)]));
-    judge.add_report("vm-1", &later);
-    assert_eq!((judge.ended(), judge.bad()), (8, 2));
+    analysis.add_report("vm-1", &later);
+    analysis.add_report("vm-1", &report(&[count(true, 1, 2, 1)]));
+    analysis.add_report("vm-1", &later);
+    assert_eq!((analysis.ended(), analysis.bad()), (8, 2));
 }
 
-/// Hundreds of shards are moved to a new version at once: a trial in which nothing happens costs a
-/// datagram a second, one in which something does is told at once.
+/// Guards against too many datagrams when hundreds of shards have a rollout at the same time: an
+/// unchanged report is sent once a second, and a changed one at once.
 #[test]
 fn unchanged_reports_are_throttled() {
-    let mut pace = ReportThrottle::default();
-    let quiet: Vec<TrialReport> =
+    let mut throttle = ReportThrottle::default();
+    let unchanged: Vec<TrialReport> =
         (0..200).map(|order_revision| TrialReport { order_revision, counts: Vec::new() }).collect();
-    let told: usize = (0..40).map(|tick| pace.take_due(tick * 250_000, quiet.clone()).len()).sum();
-    assert_eq!(told, 200 * 10);
-    let mut busy = quiet.clone();
-    busy[7].counts.push(count(true, 1, 1, 1));
-    assert_eq!(pace.take_due(10_000_000 - 1, busy.clone()), [busy[7].clone()]);
+    let sent: usize =
+        (0..40).map(|tick| throttle.take_due(tick * 250_000, unchanged.clone()).len()).sum();
+    assert_eq!(sent, 200 * 10);
+    let mut changed = unchanged.clone();
+    changed[7].counts.push(count(true, 1, 1, 1));
+    assert_eq!(throttle.take_due(10_000_000 - 1, changed.clone()), [changed[7].clone()]);
 }
 
-/// Whatever a node counts, its report fits a datagram between nodes.
+/// Guards against reports that do not fit in a datagram, however many replicas and routes a node
+/// counts.
 #[test]
 fn reports_are_bounded() {
     let grant = TrialGrant {
