--- a/crates/sassafrasproxy-core/examples/rollouts.rs
+++ b/crates/sassafrasproxy-core/examples/rollouts.rs
@@ -1,5 +1,5 @@
-//! Simulates rollouts of good and bad versions with the production state machines, and prints a table
-//! of the results.
+//! Simulates rollouts of good and bad versions with the production state machines, and prints a
+//! table of the results.
 
 #[path = "../tests/nodes/mod.rs"]
 mod nodes;
--- a/crates/sassafrasproxy-core/src/forward/rollout/coordinator.rs
+++ b/crates/sassafrasproxy-core/src/forward/rollout/coordinator.rs
@@ -40,15 +40,15 @@
     ///
     /// The rest is reserved for a promoted version that turns out bad before it is completed.
     pub permit_fraction: f64,
-    /// The fraction of `exposure_share` that the canaries may use; the rest is reserved for the same
-    /// case.
+    /// The fraction of `exposure_share` that the canaries may use; the rest is reserved for the
+    /// same case.
     pub canary_share_fraction: f64,
     /// The fraction of the period after which a version without evidence against it is promoted.
     ///
     /// As late as the period allows, because a version may turn bad only after some time.
     pub trial_fraction: f64,
-    /// The time over which permits are spread, as a multiple of the usual length of a trial, so that
-    /// a trial that lasts longer still has permits.
+    /// The time over which permits are spread, as a multiple of the usual length of a trial, so
+    /// that a trial that lasts longer still has permits.
     pub permit_spread_factor: f64,
     /// The time from the promotion of a version to its completion, in microseconds.
     ///
@@ -73,7 +73,7 @@
 
     /// Returns how long a trial may last at most, in microseconds from the order.
     ///
-    /// A trial lasts that long only if there is evidence against the version.
+    /// A trial lasts that long if there is evidence against the version.
     fn max_trial_us(&self, order: &RolloutOrder) -> u64 {
         (order.period_ms * US_PER_MS).saturating_sub(self.settle_us + WRITE_SLACK_US)
     }
@@ -116,7 +116,7 @@
     pub slots: u32,
 }
 
-/// A side effect that the coordinator asks its caller to perform.
+/// A side effect that the coordinator requests.
 #[derive(Debug, Clone, PartialEq)]
 pub enum RolloutEffect {
     /// Write a record if the one in the store still has the expected revision.
@@ -128,7 +128,7 @@
     },
     /// Tell all nodes immediately to stop using the version on trial.
     Stop {
-        /// The store's revision of the order.
+        /// The order's revision in the store.
         order_revision: u64,
     },
 }
@@ -151,11 +151,11 @@
         phase: RolloutPhase,
         /// The elapsed part of the period, in milliseconds.
         elapsed_ms: u64,
-        /// The number of attempts on the version that have ended.
+        /// The number of attempts on the target version that have ended.
         ended: u64,
         /// The number of these that failed or were slow.
         bad: u64,
-        /// The evidence against the version, as a log-likelihood ratio.
+        /// The evidence against the target version, as a log-likelihood ratio.
         score: f64,
     },
 }
@@ -329,7 +329,8 @@
 
     /// Returns the elapsed part of the period, in microseconds.
     ///
-    /// The greater of the time since this node saw the order and the time that the record tells.
+    /// This is the greater of the time since this node saw the order and the time that follows from
+    /// the record.
     fn elapsed_us(&self, now_us: u64, state: &RolloutState) -> u64 {
         let seen_us = now_us.saturating_sub(self.order_seen_us);
         let Some(record) = state.running_record() else { return seen_us };
@@ -385,7 +386,7 @@
 
     /// Whether each canary that is alive has reported within `MAX_REPORT_AGE_US`.
     ///
-    /// Prevents the promotion of a version whose failures were counted in reports that were lost.
+    /// Prevents the promotion of a version while the reports of its failures do not arrive.
     fn has_fresh_reports(&self, now_us: u64, record: &RolloutRecord, nodes: &RolloutNodes) -> bool {
         let mut alive =
             record.canaries.iter().filter(|canary| nodes.ingress_nodes.contains(canary));
@@ -435,7 +436,8 @@
         }
     }
 
-    /// Whether the target version's replicas have at least half of the slots of the base version's.
+    /// Whether the target version's replicas have slots, and at least half as many as the base
+    /// version's replicas.
     fn has_enough_slots(&self, record: &RolloutRecord) -> bool {
         let target = self.replicas(&record.target_version).slots;
         target > 0 && 2 * target >= self.replicas(&record.base_version).slots
--- a/crates/sassafrasproxy-core/src/forward/rollout/mod.rs
+++ b/crates/sassafrasproxy-core/src/forward/rollout/mod.rs
@@ -2,8 +2,9 @@
 //!
 //! An operator's order starts a trial: a few canary nodes, named in a record in the store, send a
 //! bounded number of requests to the new version (`Trial`) and report the outcomes to the
-//! coordinator (`TrialReport`). `TrialAnalysis` compares the versions; `RolloutCoordinator` promotes
-//! the new version or rolls it back. `service_versions` returns the versions that a node may use.
+//! coordinator (`TrialReport`). `TrialAnalysis` compares the versions; `RolloutCoordinator`
+//! promotes the new version or rolls it back. `service_versions` returns the versions that a node
+//! may use.
 
 mod coordinator;
 mod order;
--- a/crates/sassafrasproxy-core/src/forward/rollout/order.rs
+++ b/crates/sassafrasproxy-core/src/forward/rollout/order.rs
@@ -61,8 +61,8 @@
     /// The number of permits of each canary: requests that it may send to the new version in
     /// addition to `request_share`.
     ///
-    /// The permits of all canaries together never exceed the exposure that the operators allow for a
-    /// bad version.
+    /// The permits of all canaries together never exceed the exposure that the operators allow for
+    /// a bad version.
     pub permits_each: u32,
     /// The number of requests to the new version for each request to the service that the canary
     /// serves.
--- a/crates/sassafrasproxy-core/src/forward/rollout/trial.rs
+++ b/crates/sassafrasproxy-core/src/forward/rollout/trial.rs
@@ -18,8 +18,8 @@
 /// The number of classes in which the replicas of a version are counted.
 const REPLICA_CLASSES: u64 = 256;
 
-/// The number of counts from which replicas are grouped into fewer classes, so that a report fits in
-/// a datagram.
+/// The number of counts from which replicas are grouped into fewer classes, so that a report fits
+/// in a datagram.
 const MAX_FINE_COUNTS: usize = 48;
 
 /// The number of classes of replicas from then on.
@@ -36,7 +36,7 @@
     (xxh3_64(route.as_bytes()) % ROUTE_CLASSES) as RouteClass
 }
 
-/// The requests that this node may send to a version on trial.
+/// The limits on the requests that this node may send to a version on trial.
 #[derive(Debug, Clone, PartialEq)]
 pub struct TrialGrant {
     /// The version on trial.
@@ -47,8 +47,8 @@
     pub permits: u32,
     /// The number of additional requests for each request that the node sends to the service.
     pub ratio: f64,
-    /// The time over which the permits are spread, in microseconds, so that a version that turns bad
-    /// later is still observed.
+    /// The time over which the permits are spread, in microseconds, so that a version that turns
+    /// bad later is still observed.
     pub spread_us: u64,
 }
 
@@ -101,7 +101,7 @@
     started_us: u64,
     /// The number of first attempts on the service, regardless of the version.
     requests: u64,
-    /// The number of attempts on the version on trial.
+    /// The number of attempts on the version on trial; never above `allowed_sends`.
     trial_sends: u64,
     counts: IndexMap<(bool, u8, RouteClass), TrialCount>,
 }
@@ -112,7 +112,7 @@
         Self { grant, started_us: now_us, requests: 0, trial_sends: 0, counts: IndexMap::new() }
     }
 
-    /// Returns the requests that this node may send.
+    /// Returns the limits on the requests that this node may send.
     pub fn grant(&self) -> &TrialGrant {
         &self.grant
     }
--- a/crates/sassafrasproxy-core/src/forward/rollout/trial_analysis.rs
+++ b/crates/sassafrasproxy-core/src/forward/rollout/trial_analysis.rs
@@ -55,8 +55,8 @@
 /// Runs a cumulative sum test (Page, Biometrika 1954) for each class of routes and for all routes
 /// together. The outcome of each attempt on the version on trial adds the logarithm of how much
 /// likelier the outcome is if the version is bad; the baseline is the version in use at the same
-/// time. A sum never falls below 0, so that a version that turns bad late is detected as fast as one
-/// that is bad from the start.
+/// time. A sum never falls below 0, so that a version that turns bad late is detected as fast as
+/// one that is bad from the start.
 #[derive(Debug, Clone, Default)]
 pub struct TrialAnalysis {
     reports: IndexMap<String, TrialReport>,
--- a/crates/sassafrasproxy-core/src/forward/sending/fetch.rs
+++ b/crates/sassafrasproxy-core/src/forward/sending/fetch.rs
@@ -11,7 +11,7 @@
     pub expected_us: u64,
     /// The time after an attempt at which a hedge may start, in microseconds.
     pub hedge_after_us: u64,
-    /// The maximum number of attempts, each on another replica; at least 1.
+    /// The maximum number of attempts, each on a different replica; at least 1.
     pub max_attempts: u32,
     /// Whether the request may run more than once.
     pub is_idempotent: bool,
--- a/crates/sassafrasproxy-core/src/forward/sending/gather.rs
+++ b/crates/sassafrasproxy-core/src/forward/sending/gather.rs
@@ -23,19 +23,19 @@
 /// up to a millisecond late.
 const SEND_RESERVE_US: u64 = 1_500;
 
-/// The additional reserve for each shard, in microseconds, because all parts that arrive at the same
-/// time are read before the answer is sent.
+/// The additional reserve for each shard, in microseconds, because all parts that arrive at the
+/// same time are read before the answer is sent.
 const PART_RESERVE_US: u64 = 50;
 
 /// The additional reserve is the latency goal divided by this.
 ///
 /// A late answer helps its caller little, and an answer without the last part helps nearly as much
-/// as a complete one. So the gather does not wait until the last moment at which the answer may still
-/// arrive in time.
+/// as a complete one. So the gather does not wait until the last moment at which the answer may
+/// still arrive in time.
 const GOAL_SLACK_DIVISOR: u64 = 25;
 
-/// The additional reserve is the caller round trip divided by this, because some answers take longer
-/// on their way.
+/// The additional reserve is the caller round trip divided by this, because some answers take
+/// longer on their way.
 const ROUND_TRIP_SLACK_DIVISOR: u64 = 8;
 
 impl GatherPlan {
@@ -94,8 +94,8 @@
 /// Returns the time until `min_parts` shards are usable, in microseconds; `None` if too few shards
 /// will become usable.
 ///
-/// `usable_in_us` holds the time until each shard has a replica that may get work. Callers use the
-/// result to refuse queries that would fail: with three of twenty shards unavailable and eighteen
+/// `usable_in_us` holds the time until each shard has a replica that may get work. Guards against
+/// starting queries that cannot succeed: with three of twenty shards unavailable and eighteen
 /// required, seventeen replicas would work for an answer that is never sent.
 pub fn min_parts_usable_in_us(usable_in_us: &[Option<u64>], min_parts: usize) -> Option<u64> {
     let mut times_us: Vec<u64> = usable_in_us.iter().copied().flatten().collect();
@@ -105,9 +105,9 @@
 
 /// Returns the `top_k` greatest records of all parts, concatenated in descending order.
 ///
-/// Equal records are all kept. Bytes after the last complete record of a part are ignored. Selecting
-/// before sorting keeps the work near one pass over the parts, as an answer holds few of many
-/// records.
+/// Equal records are all kept. Bytes after the last complete record of a part are ignored.
+/// Selecting before sorting keeps the work near one pass over the parts, as an answer holds few of
+/// many records.
 pub fn merge_records<'a>(parts: impl IntoIterator<Item = &'a [u8]>, top_k: usize) -> Vec<u8> {
     let mut records: Vec<&[u8; RECORD_BYTES]> =
         parts.into_iter().flat_map(|part| part.as_chunks::<RECORD_BYTES>().0).collect();
--- a/crates/sassafrasproxy-core/src/forward/sending/retry_budget.rs
+++ b/crates/sassafrasproxy-core/src/forward/sending/retry_budget.rs
@@ -1,5 +1,5 @@
-//! Limits the attempts beyond the first (hedges and retries) of all nodes together, without messages
-//! between them.
+//! Limits the attempts beyond the first (hedges and retries) of all nodes together, without
+//! messages between them.
 
 use std::collections::VecDeque;
 
@@ -16,7 +16,8 @@
 /// its share in the same window.
 const FIXED_BUDGET_FRACTION: f64 = 0.8;
 
-/// The fraction of its share that a node has when it starts; it has the whole share after one window.
+/// The fraction of its share that a node has when it starts; it has the whole share after one
+/// window.
 ///
 /// If all nodes restart at once, they spend a quarter of 0.8 in addition to the 0.8 that was spent
 /// before: the whole budget, but no more.
@@ -27,10 +28,10 @@
 
 /// Returns the number of equal shares into which the fixed budget is divided for a node.
 ///
-/// Callers are sent to `ingress_nodes` of `nodes` nodes; `is_ingress` tells whether the node is one of
-/// these. The ingress nodes get all but an eighth of the budget. Where few of many nodes serve nearly
-/// all queries, equal shares would leave these nodes without retries while the shares of the others
-/// stay unspent.
+/// Callers are sent to `ingress_nodes` of `nodes` nodes; `is_ingress` tells whether the node is one
+/// of these. The ingress nodes get all but an eighth of the budget. Where few of many nodes serve
+/// nearly all queries, equal shares would leave these nodes without retries while the shares of the
+/// others stay unspent.
 pub fn budget_shares(nodes: usize, ingress_nodes: usize, is_ingress: bool) -> usize {
     let others = nodes.saturating_sub(ingress_nodes);
     match (others, is_ingress) {
@@ -90,8 +91,8 @@
 
     /// Restarts the growth of this node's share, as when the node starts.
     ///
-    /// Called when the node becomes entitled to a larger share, because the nodes that had it before
-    /// may have spent it in the same window.
+    /// Called when the node becomes entitled to a larger share, because the nodes that had it
+    /// before may have spent it in the same window.
     pub fn restart_ramp(&mut self, now_us: u64) {
         self.ramp_start_us = now_us;
     }
--- a/crates/sassafrasproxy-core/src/forward/sending/route_latencies.rs
+++ b/crates/sassafrasproxy-core/src/forward/sending/route_latencies.rs
@@ -4,8 +4,8 @@
 
 /// The quantile of a route's latencies from which the hedge delay is computed.
 ///
-/// About a tenth of the attempts are hedged, which takes half of the retry budget at its usual ratio
-/// and leaves the other half for retries.
+/// About a tenth of the attempts are hedged, which takes half of the retry budget at its usual
+/// ratio and leaves the other half for retries.
 const HEDGE_QUANTILE: f64 = 0.9;
 
 /// The factor by which that quantile is multiplied, so that attempts that are about to end are not
@@ -17,8 +17,8 @@
 
 /// The maximum hedge delay of a query over shards, as a fraction of the latency goal.
 ///
-/// If many replicas are slow at once, they raise the quantile. Without a maximum, hedges would start
-/// too late to help just when they are needed. A query over shards must still merge its parts
+/// If many replicas are slow at once, they raise the quantile. Without a maximum, hedges would
+/// start too late to help just when they are needed. A query over shards must still merge its parts
 /// after the last one has arrived.
 const MAX_SHARDS_HEDGE_FRACTION: f64 = 0.25;
 
@@ -26,8 +26,8 @@
 /// may use half of the goal before the hedge.
 const MAX_SINGLE_HEDGE_FRACTION: f64 = 0.5;
 
-/// The latency goal divided by this is the expected latency until enough latencies are measured; the
-/// quantile for the hedge delay is taken as twice that.
+/// The latency goal divided by this is the expected latency until enough latencies are measured;
+/// the quantile for the hedge delay is taken as twice that.
 const DEFAULT_LATENCY_DIVISOR: u64 = 8;
 
 /// The replicas that a request of a route is sent to.
--- a/crates/sassafrasproxy-core/tests/fetches.rs
+++ b/crates/sassafrasproxy-core/tests/fetches.rs
@@ -69,8 +69,8 @@
     }
 }
 
-/// Guards against a second attempt of a request that is not idempotent: its answer was lost, and the
-/// replica may have run it, so another attempt could run it twice.
+/// Guards against a second attempt of a request that is not idempotent: its answer was lost, and
+/// the replica may have run it, so another attempt could run it twice.
 #[test]
 fn non_idempotent_sent_once() {
     let mut harness = FetchHarness::new(3, false, 100.0);
@@ -118,8 +118,8 @@
     harness.expect_failure(FetchFailureReason::AllTried, true);
 }
 
-/// Guards against retries beyond the budget when many shards fail at once: when the budget is spent,
-/// first attempts are still made, and retries are not.
+/// Guards against retries beyond the budget when many shards fail at once: when the budget is
+/// spent, first attempts are still made, and retries are not.
 #[test]
 fn budget_spent() {
     let mut harness = FetchHarness::new(3, true, 0.0);
--- a/crates/sassafrasproxy-core/tests/gathers.rs
+++ b/crates/sassafrasproxy-core/tests/gathers.rs
@@ -30,8 +30,8 @@
 }
 
 /// Guards against an answer that arrives after the latency goal. The goal of 50 ms started 5 ms ago
-/// at a caller with a round trip of 2 ms: the gather stops waiting some milliseconds before the last
-/// moment, and sooner for a caller with a longer round trip.
+/// at a caller with a round trip of 2 ms: the gather stops waiting some milliseconds before the
+/// last moment, and sooner for a caller with a longer round trip.
 #[test]
 fn soft_deadlines() {
     let near_us = GatherPlan::soft_deadline_us(95_000, 50_000, 2_000, 20);
--- a/crates/sassafrasproxy-core/tests/retry_budgets.rs
+++ b/crates/sassafrasproxy-core/tests/retry_budgets.rs
@@ -54,8 +54,12 @@
             let request_count = requests[window].iter().sum::<u32>().max(before);
             // Each restarted process may spend a quarter of a node's share again.
             let restart_share = restarts.len() as f64 * 0.25 * 0.8 * POLICY.fixed / NODES as f64;
-            let restart_requests = restarts.len() as f64 * f64::from(*loads.iter().max().unwrap_or(&0)) * 5.0;
-            let max_extra = POLICY.ratio * f64::from(request_count) + POLICY.fixed + restart_share + restart_requests;
+            let restart_requests =
+                restarts.len() as f64 * f64::from(*loads.iter().max().unwrap_or(&0)) * 5.0;
+            let max_extra = POLICY.ratio * f64::from(request_count)
+                + POLICY.fixed
+                + restart_share
+                + restart_requests;
             prop_assert!(f64::from(spent) <= max_extra + 1.0, "{spent} of {max_extra} at {end}");
         }
     }
@@ -94,9 +98,9 @@
     assert_eq!(spent, 205, "a fifth of the requests, plus a node's share of the fixed part");
 }
 
-/// Guards against queries that fail for lack of retries while max_extra of the budget is unspent. Callers
-/// are sent to eight of 74 nodes, and replicas reset connections, so that these eight must retry.
-/// If each node has a 74th of the fixed budget, nine tenths of it stay unused.
+/// Guards against queries that fail for lack of retries while most of the budget is unspent.
+/// Callers are sent to eight of 74 nodes, and replicas reset connections, so that these eight must
+/// retry. If each node has a 74th of the fixed budget, nine tenths of it stay unused.
 #[test]
 fn few_ingress_nodes() {
     let service = EcoString::from("s");
@@ -114,8 +118,8 @@
     assert!(all as f64 <= POLICY.fixed, "{all} without one request");
 }
 
-/// Guards against overspending when the ingress nodes change. Eight nodes fail right after they spent
-/// their whole shares, and eight others take over: together they stay within the budget.
+/// Guards against overspending when the ingress nodes change. Eight nodes fail right after they
+/// spent their whole shares, and eight others take over: together they stay within the budget.
 #[test]
 fn ingress_nodes_change() {
     let service = EcoString::from("s");
--- a/crates/sassafrasproxy-core/tests/rollout_model/mod.rs
+++ b/crates/sassafrasproxy-core/tests/rollout_model/mod.rs
@@ -1,5 +1,5 @@
-//! Simulates rollouts in virtual time: nodes with the production state machines, and a modelled store
-//! and modelled replicas of two versions.
+//! Simulates rollouts in virtual time: nodes with the production state machines, and a modelled
+//! store and modelled replicas of two versions.
 
 #![allow(dead_code, clippy::unwrap_used, reason = "each user of the module uses only some items")]
 
@@ -371,7 +371,8 @@
         }
     }
 
-    /// Returns the time until which the store is unavailable, in microseconds; 0 if it is available.
+    /// Returns the time until which the store is unavailable, in microseconds; 0 if it is
+    /// available.
     fn store_down_until_us(&self) -> u64 {
         let from_us = self.ordered_us + self.scenario.period_ms * 250;
         let until_us = from_us + 4_500_000;
--- a/crates/sassafrasproxy-core/tests/rollouts.rs
+++ b/crates/sassafrasproxy-core/tests/rollouts.rs
@@ -79,16 +79,16 @@
     }
 }
 
-/// Guards against missing a version that fails on one of three routes only, because its requests look
-/// nearly healthy when all routes are counted together.
+/// Guards against missing a version that fails on one of three routes only, because its requests
+/// look nearly healthy when all routes are counted together.
 #[test]
 fn one_bad_route() {
     let behavior = VersionBehavior::FailsOneRoute { share: 0.5 };
     assert_rolled_back(&simulate(scenario(behavior, Fault::None)), "one route");
 }
 
-/// Guards against a late completion of a good version, and against requests to the old replicas after
-/// they may be stopped.
+/// Guards against a late completion of a good version, and against requests to the old replicas
+/// after they may be stopped.
 #[test]
 fn good_version() {
     for (nodes, ingress_nodes) in [(8, 8), (65, 8), (300, 24)] {
@@ -104,7 +104,8 @@
     }
 }
 
-/// Guards against rolling back a good version because of a single failing replica of either version.
+/// Guards against rolling back a good version because of a single failing replica of either
+/// version.
 #[test]
 fn one_failing_replica() {
     for fault in [Fault::OneNewReplicaFails, Fault::OneOldReplicaFails] {
@@ -113,8 +114,8 @@
     }
 }
 
-/// Guards against promoting a bad version while the store, the coordinator, some nodes or the replicas
-/// have faults of their own.
+/// Guards against promoting a bad version while the store, the coordinator, some nodes or the
+/// replicas have faults of their own.
 #[test]
 fn faults_during_rollout() {
     let faults = [
@@ -159,14 +160,15 @@
     (1..=60).filter(|seed| !fails_under_load(seed)).for_each(assert_exposure_bounded);
 }
 
-/// Guards against promoting a version that starts to fail a quarter of its requests late in the trial.
+/// Guards against promoting a version that starts to fail a quarter of its requests late in the
+/// trial.
 #[test]
 fn late_failure() {
     assert_exposure_bounded(285);
 }
 
-/// Guards against missing a version that fails only requests that run concurrently with others, while
-/// the request rate is low.
+/// Guards against missing a version that fails only requests that run concurrently with others,
+/// while the request rate is low.
 #[test]
 fn failure_under_load() {
     assert_exposure_bounded(27);
@@ -178,7 +180,8 @@
     assert_exposure_bounded(133);
 }
 
-/// Guards against missing a version that fails on a route that fewer than three requests a second use.
+/// Guards against missing a version that fails on a route that fewer than three requests a second
+/// use.
 #[test]
 fn rarest_route_fails() {
     assert_exposure_bounded(234);
@@ -233,7 +236,8 @@
     assert_eq!(versions.in_use.as_deref(), Some("v2"));
 }
 
-/// Guards against using a version that was rolled back while no replica of the old version is listed.
+/// Guards against using a version that was rolled back while no replica of the old version is
+/// listed.
 #[test]
 fn rolled_back_version_unused() {
     let new = "v2".into();
