--- a/crates/sassafrasproxy-core/src/scheduler/crash_suspects.rs
+++ b/crates/sassafrasproxy-core/src/scheduler/crash_suspects.rs
@@ -1,18 +1,18 @@
-//! Requests that upstreams died under.
+//! Tracks requests that crash upstreams and quarantines them.
 
 use indexmap::{IndexMap, IndexSet};
 
-/// How many confirmed deaths quarantine a request.
+/// The number of confirmed crashes after which a request is quarantined.
 const CRASHES_TO_QUARANTINE: u32 = 2;
 
-/// How many fingerprints that did no harm are remembered.
+/// The maximum number of fingerprints remembered as harmless.
 const MAX_HARMLESS_ENTRIES: usize = 4_096;
 
-/// Keeps apart the requests that may crash upstreams from those that are proven harmless.
+/// Distinguishes requests that may crash upstreams from those that are known to be harmless.
 ///
-/// Guards against one request that crashes each upstream that runs it and is sent again by its
-/// caller: it shows as connections lost mid-request followed by another boot id. A request
-/// that upstreams died under is tried alone, so that the second death can only be its own.
+/// Guards against one request that crashes each upstream that runs it and that its caller keeps
+/// resending: connections are lost mid-request and the upstream returns with another boot id. A
+/// crash suspect runs without other suspects, so that no other suspect can cause the second crash.
 #[derive(Debug, Clone, Default)]
 pub struct CrashSuspects {
     suspected: IndexMap<u64, CrashSuspicion>,
@@ -20,39 +20,39 @@
     harmless: IndexSet<u64>,
 }
 
-/// One request under suspicion.
+/// The confirmed crashes under one crash suspect.
 #[derive(Debug, Clone, Copy)]
 struct CrashSuspicion {
     crashes: u32,
     expires_us: u64,
 }
 
-/// What a confirmed death under a request means for it.
+/// The consequence of a confirmed crash for the request that ran.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum CrashVerdict {
-    /// It may be tried again, alone.
+    /// The request may run again, but not beside other suspects.
     Suspected,
-    /// It is refused from now on.
+    /// The request is refused from now on.
     Quarantined,
 }
 
 impl CrashSuspects {
-    /// Whether a request is refused.
+    /// Whether a request is quarantined.
     pub fn is_quarantined(&self, fingerprint: u64, now_us: u64) -> bool {
         self.quarantined_until_us.get(&fingerprint).is_some_and(|until_us| *until_us > now_us)
     }
 
-    /// Whether a request must be tried alone.
+    /// Whether a request is a crash suspect.
     pub fn is_suspect(&self, fingerprint: u64) -> bool {
         self.suspected.contains_key(&fingerprint)
     }
 
-    /// Whether a request ran before and did no harm.
+    /// Whether a request was answered before without a confirmed crash since.
     pub fn is_known_harmless(&self, fingerprint: u64) -> bool {
         self.harmless.contains(&fingerprint)
     }
 
-    /// Counts an upstream's confirmed death under a request.
+    /// Records an upstream's confirmed crash under a request.
     pub fn record_crash(&mut self, fingerprint: u64, now_us: u64, ttl_us: u64) -> CrashVerdict {
         self.harmless.swap_remove(&fingerprint);
         let expires_us = now_us + ttl_us;
@@ -68,7 +68,7 @@
         CrashVerdict::Quarantined
     }
 
-    /// Clears a request that was answered.
+    /// Clears a request that was answered of suspicion.
     pub fn mark_harmless(&mut self, fingerprint: u64) {
         self.suspected.swap_remove(&fingerprint);
         if self.harmless.len() >= MAX_HARMLESS_ENTRIES {
@@ -77,13 +77,13 @@
         self.harmless.insert(fingerprint);
     }
 
-    /// Refuses a request until a time.
+    /// Quarantines a request until a time; never shortens a quarantine.
     pub fn quarantine(&mut self, fingerprint: u64, until_us: u64) {
-        let until = self.quarantined_until_us.entry(fingerprint).or_insert(until_us);
-        *until = until_us.max(*until);
+        let expires_us = self.quarantined_until_us.entry(fingerprint).or_insert(until_us);
+        *expires_us = until_us.max(*expires_us);
     }
 
-    /// Forgets what has expired.
+    /// Removes expired suspicions and quarantines.
     pub fn expire(&mut self, now_us: u64) {
         self.suspected.retain(|_, suspicion| suspicion.expires_us > now_us);
         self.quarantined_until_us.retain(|_, until_us| *until_us > now_us);
--- a/crates/sassafrasproxy-core/src/scheduler/home.rs
+++ b/crates/sassafrasproxy-core/src/scheduler/home.rs
@@ -1,4 +1,4 @@
-//! Taking a group over and letting it go.
+//! Becoming and ceasing to be a group's home, and the hand-over of its state between homes.
 
 use ecow::EcoString;
 use sassafrasproxy_wire::{EventKind, HandOver, ReplicaHandOver, SubOutcome};
@@ -7,10 +7,12 @@
 use super::{HomeRole, Scheduler, SchedulerEffect};
 
 impl Scheduler {
-    /// Takes the group over; without a hand-over every limit stays at 1 for a while.
+    /// Makes this node the group's home; until `view_skew_us` has passed or a hand-over arrives,
+    /// every limit stays at 1.
     ///
-    /// Guards against two nodes that each believe to be home: until views can no longer differ,
-    /// this one adds at most one sub-request to what the other has in flight at a replica.
+    /// Guards against two nodes that both consider themselves home: until their views can no
+    /// longer differ, this node adds at most one sub-request per replica to those that the other
+    /// has in flight there.
     pub(super) fn become_home(&mut self, now_us: u64, view_skew_us: u64) {
         if matches!(self.role, HomeRole::Home { .. }) {
             return;
@@ -25,16 +27,18 @@
         self.effects.push(SchedulerEffect::PublishHoldings);
     }
 
-    /// Lets the group go: what waits is sent back to its entry, what runs may end.
-    pub(super) fn lose_home(&mut self, now_us: u64, me: EcoString) {
+    /// Ends this node's role as home: returns queued sub-requests to their senders, lets attempts
+    /// in flight end, and hands the group's state over.
+    pub(super) fn lose_home(&mut self, now_us: u64, local_node: EcoString) {
         if !matches!(self.role, HomeRole::Home { .. }) {
             return;
         }
         self.role = HomeRole::FormerHome { sequence: 0 };
-        self.local_node = me;
-        for key in std::mem::take(&mut self.queue) {
-            let may_have_run = self.pending.get(&key).is_some_and(|state| state.may_have_run);
-            self.reply(key, SubOutcome::NotHome { may_have_run }, None);
+        self.local_node = local_node;
+        for sub_request in std::mem::take(&mut self.queue) {
+            let may_have_run =
+                self.pending.get(&sub_request).is_some_and(|state| state.may_have_run);
+            self.reply(sub_request, SubOutcome::NotHome { may_have_run }, None);
         }
         self.send_hand_over(now_us, 0);
         for replica in self.replicas.values_mut() {
@@ -42,23 +46,25 @@
         }
     }
 
-    /// Tells the new home what it needs to know, or how many sends still run here.
+    /// Sends the new home each replica's limit and the number of attempts that this node still has
+    /// in flight there.
     fn send_hand_over(&mut self, now_us: u64, sequence: u64) {
         let replicas =
             self.replicas.values().map(|replica| self.replica_hand_over(replica, now_us));
-        let given = HandOver {
+        let hand_over = HandOver {
             group: self.configuration.group.clone(),
             from: self.local_node.clone(),
             sequence,
             replicas: replicas.collect(),
         };
-        self.effects.push(SchedulerEffect::SendHandOver(given));
+        self.effects.push(SchedulerEffect::SendHandOver(hand_over));
     }
 
-    /// Frees the new home's slots as the last sends of the old one end.
+    /// Tells the new home that an attempt of the old home ended, so that it can use the slot.
     ///
-    /// Guards against slots that stay kept until the old sends' deadlines: where few replicas
-    /// are left, as with a failure domain out, queries would wait for them in vain.
+    /// Guards against slots that stay reserved until the deadlines of the old home's attempts: with
+    /// few replicas left, as when a failure domain is out of service, queries would wait for slots
+    /// that are already free.
     pub(super) fn report_to_new_home(&mut self, now_us: u64) {
         if let HomeRole::FormerHome { sequence } = &mut self.role {
             *sequence += 1;
@@ -67,7 +73,7 @@
         }
     }
 
-    /// One replica's part of a hand-over.
+    /// Returns one replica's part of a hand-over.
     fn replica_hand_over(&self, replica: &Replica, now_us: u64) -> ReplicaHandOver {
         let running =
             self.attempts.values().filter(|attempt| attempt.replica == replica.spec.address);
@@ -75,38 +81,40 @@
         replica.to_hand_over(busy_until_us, now_us)
     }
 
-    /// Takes over what the old home had learned, which ends the narrow start.
-    pub(super) fn apply_hand_over(&mut self, now_us: u64, given: &HandOver) {
-        let HomeRole::Home { limits_grow_from_us: full_from_us } = &mut self.role else { return };
-        let is_first = given.sequence == 0;
-        let is_latest = self.last_hand_over_sequence.is_none_or(|heard| given.sequence > heard);
-        for one in &given.replicas {
-            let Some(replica) = self.replicas.get_mut(&one.address) else { continue };
+    /// Applies the state that the old home sent: the first hand-over sets the limits and lets them
+    /// grow at once, and the latest one sets the slots reserved for the old home.
+    pub(super) fn apply_hand_over(&mut self, now_us: u64, hand_over: &HandOver) {
+        let HomeRole::Home { limits_grow_from_us } = &mut self.role else { return };
+        let is_first = hand_over.sequence == 0;
+        let is_latest =
+            self.last_hand_over_sequence.is_none_or(|latest| hand_over.sequence > latest);
+        for received in &hand_over.replicas {
+            let Some(replica) = self.replicas.get_mut(&received.address) else { continue };
             if is_first {
-                replica.apply_hand_over(one, self.configuration.policy.slots, now_us);
+                replica.apply_hand_over(received, self.configuration.policy.slots, now_us);
             }
             if is_latest {
-                replica.reserve_for_old_home(one, now_us);
+                replica.reserve_for_old_home(received, now_us);
             }
         }
         if is_latest {
-            self.last_hand_over_sequence = Some(given.sequence);
+            self.last_hand_over_sequence = Some(hand_over.sequence);
         }
         if !is_first {
             return;
         }
-        *full_from_us = now_us;
+        *limits_grow_from_us = now_us;
         let kind = EventKind::HandOverTaken {
             group: self.configuration.group.clone(),
-            from: given.from.clone(),
+            from: hand_over.from.clone(),
         };
         self.effects.push(SchedulerEffect::RecordEvent { sub_request: None, kind });
     }
 
-    /// Whether limits may grow now.
+    /// Whether limits may grow; never while this node is not the home.
     pub(super) fn may_grow_limits(&self, now_us: u64) -> bool {
         match self.role {
-            HomeRole::Home { limits_grow_from_us: full_from_us } => now_us >= full_from_us,
+            HomeRole::Home { limits_grow_from_us } => now_us >= limits_grow_from_us,
             HomeRole::Fallback | HomeRole::FormerHome { .. } => false,
         }
     }
--- a/crates/sassafrasproxy-core/src/scheduler/message.rs
+++ b/crates/sassafrasproxy-core/src/scheduler/message.rs
@@ -1,88 +1,96 @@
-//! Events that a lane takes in and effects that it asks for.
+//! The events that a scheduler handles and the effects that it requests.
+//!
+//! A scheduler does no I/O. Its shell, a module of the node, turns I/O into events and carries out
+//! the effects.
 
 use ecow::EcoString;
 use indexmap::IndexSet;
 use sassafrasproxy_wire::{EventKind, HandOver, SnapshotId, SubOutcome, UpstreamStatus};
 
-/// A sub-request, numbered by the shell; unique in a lane.
+/// Identifies a sub-request; assigned by the shell and unique within a scheduler.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct SubRequestId(pub u64);
 
-/// One send of a sub-request, numbered by the lane.
+/// Identifies one attempt of a sub-request; assigned by the scheduler.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct AttemptId(pub u64);
 
-/// What a lane serves and how.
+/// The replicas, limits and exclusions of a scheduler's group.
 #[derive(Debug, Clone, PartialEq)]
 pub struct SchedulerConfiguration {
-    /// The replica group.
+    /// The name of the replica group.
     pub group: EcoString,
-    /// The service.
+    /// The name of the service.
     pub service: EcoString,
     /// The group's replicas.
     pub replicas: Vec<ReplicaSpec>,
-    /// Limits and times.
+    /// The limits and times.
     pub policy: SchedulerPolicy,
-    /// Failure domains that get no new work.
+    /// The failure domains that are out of service and get no new work.
     pub domains_out: IndexSet<EcoString>,
-    /// Addresses that the platform's VM list says are leaving.
+    /// The addresses of upstreams that are leaving according to the platform's VM list.
     pub leaving_upstreams: IndexSet<EcoString>,
 }
 
-/// One replica of a lane.
+/// One replica of a group.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ReplicaSpec {
-    /// `ip:port`.
+    /// The address as `ip:port`.
     pub address: EcoString,
-    /// Where it is.
+    /// The failure domain of its VM.
     pub failure_domain: EcoString,
     /// The shards it may hold.
     pub shards: IndexSet<EcoString>,
 }
 
-/// Limits and times of a lane.
+/// The limits and times of a scheduler.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct SchedulerPolicy {
-    /// The most sub-requests in flight at one replica; at least 1.
+    /// The maximum number of sub-requests in flight at one replica; at least 1.
     pub slots: u32,
-    /// The most sub-requests that wait.
+    /// The maximum number of queued sub-requests.
     pub max_queued: u32,
-    /// Hedges and retries as a fraction of the base load, 0 to 1.
+    /// The allowed hedges and retries as a fraction of the base load, 0 to 1.
     pub budget_fraction: f64,
-    /// The most hedges and retries saved up.
+    /// The maximum number of unused hedges and retries that the budget holds.
     pub budget_max_tokens: f64,
     /// The quantile of a shard's latencies after which a hedge starts.
     pub hedge_quantile: f64,
-    /// What cannot end in time is not sent: its run is taken to last this quantile.
+    /// The quantile of a shard's latencies that serves as the estimate of an attempt's run time; a
+    /// sub-request that would end after its deadline by this estimate is refused.
     pub run_time_quantile: f64,
-    /// The least time between two steps of a cold replica's limit.
+    /// The minimum time between two increases of a cold replica's limit.
     pub min_ramp_step_us: u64,
-    /// The good answers that each slot of a cold replica's limit takes to grow by one.
+    /// The number of warm answers, per slot of its limit, that a cold replica must give before the
+    /// limit grows by one.
     pub ramp_answers_per_slot: u32,
-    /// An answer up to this many times as slow as the group's quickest replica is a warm one.
+    /// An answer is warm if its latency is at most this many times the typical latency of the
+    /// group's quickest replica.
     pub warm_factor: f64,
-    /// A latency this many times the replica's norm is slow.
+    /// An answer is slow if its latency exceeds the replica's typical latency this many times.
     pub slow_factor: f64,
-    /// A send is silent after this many times the replica's norm without any answer from it.
+    /// The number of typical latencies after which an attempt counts as stalled if its replica has
+    /// answered nothing since the attempt started.
     pub quiet_replica_stall_factor: u64,
-    /// The same where the replica did answer something else since.
+    /// The number of typical latencies after which an attempt counts as stalled if its replica has
+    /// answered other attempts since.
     pub active_replica_stall_factor: u64,
-    /// A send is never silent before this.
+    /// The minimum time before an attempt counts as stalled.
     pub min_stall_us: u64,
-    /// The pause after a shed request that names none.
+    /// The minimum pause of a replica that shed a request.
     pub min_shed_pause_us: u64,
-    /// The longest pause that an upstream can ask for.
+    /// The maximum pause that an upstream can request.
     pub max_shed_pause_us: u64,
-    /// How long a replica is not asked for a shard that it said it does not hold.
+    /// The time for which a replica is not asked for a shard that it reported as not held.
     pub not_held_ttl_us: u64,
-    /// When to come back after a refusal for load.
+    /// The retry delay given with a refusal, unless the request is quarantined.
     pub overload_retry_after_us: u64,
-    /// How long a quarantine lasts.
+    /// The duration of a quarantine.
     pub quarantine_ttl_us: u64,
 }
 
 impl SchedulerPolicy {
-    /// The defaults for a service's limits.
+    /// Returns the default policy with a service's slots (raised to at least 1) and queue length.
     pub fn new(slots: u32, max_queued: u32) -> Self {
         Self {
             slots: slots.max(1),
@@ -107,89 +115,89 @@
     }
 }
 
-/// A sub-request as a lane sees it; its body stays with the shell.
+/// A sub-request as the scheduler sees it; its body stays with the shell.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct SubRequestSpec {
-    /// Its key.
+    /// The identifier.
     pub id: SubRequestId,
-    /// The shard.
+    /// The shard that is asked for.
     pub shard: EcoString,
     /// The snapshot that the answer must come from.
     pub snapshot: SnapshotId,
-    /// Whether running it twice does no harm.
+    /// Whether it may run more than once without harm.
     pub is_idempotent: bool,
-    /// Whether a second try may start before the first ends; only with `is_idempotent`.
+    /// Whether a hedge may start before the first attempt ends; requires `is_idempotent`.
     pub may_hedge: bool,
     /// A hash of kind and body.
     pub fingerprint: u64,
-    /// When its entry needs an answer at the latest.
+    /// The time by which its sender needs an answer.
     pub deadline_us: u64,
 }
 
-/// What a lane takes in.
+/// An input of the scheduler.
 #[derive(Debug, Clone, PartialEq)]
 pub enum SchedulerEvent {
-    /// A sub-request came.
+    /// A sub-request arrived.
     Submit(SubRequestSpec),
-    /// A send ended.
+    /// An attempt ended.
     Finished {
-        /// The send.
+        /// The attempt.
         attempt: AttemptId,
-        /// How.
+        /// How it ended and what the answer's headers said.
         report: AttemptReport,
     },
-    /// A cancelled send holds its slot no more.
+    /// A cancelled attempt no longer holds its slot.
     Cancelled {
-        /// The send.
+        /// The attempt.
         attempt: AttemptId,
     },
-    /// Nobody waits for a sub-request any more.
+    /// The sender no longer waits for a sub-request.
     Abandon {
         /// The sub-request.
         sub_request: SubRequestId,
     },
-    /// A replica's status was read or could not be.
+    /// A replica's status was read, or reading it failed.
     Status {
         /// The replica.
         replica: EcoString,
-        /// The number of the probe that this answers, if it was one.
+        /// The probe that this answers, if any.
         probe_id: Option<u64>,
-        /// What came back.
+        /// The status or the failure to read it.
         report: StatusReport,
     },
     /// The configuration or the VM list changed.
     Reconfigure(SchedulerConfiguration),
-    /// This node is the group's home from now on.
+    /// This node became the group's home.
     BecomeHome {
-        /// How long two nodes may both believe to be home.
+        /// The time for which two nodes may both consider themselves home.
         view_skew_us: u64,
     },
-    /// This node is the group's home no more.
+    /// This node is no longer the group's home.
     LoseHome {
         /// This node's name.
         local_node: EcoString,
     },
-    /// The old home handed its state over.
+    /// A hand-over arrived from the old home.
     HandOverReceived(HandOver),
-    /// Another lane or node found that a request crashes upstreams.
+    /// Another scheduler or node found that a request crashes upstreams.
     Quarantine {
         /// A hash of kind and body.
         fingerprint: u64,
-        /// How long to refuse it.
+        /// The time for which to refuse it, in microseconds.
         ttl_us: u64,
     },
-    /// The time asked for has come.
+    /// The time returned by [`Scheduler::next_timer_us`](super::Scheduler::next_timer_us) has come.
     Timer,
 }
 
-/// How a send ended, with what the answer's headers said.
+/// How an attempt ended, with what the answer's headers said.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct AttemptReport {
-    /// How it ended.
+    /// The result of the attempt.
     pub result: AttemptResult,
-    /// The upstream's process life.
+    /// The boot id of the upstream's process, if the answer named one.
     pub boot_id: Option<EcoString>,
-    /// Whether the upstream said that it is leaving.
+    /// Whether the answer said that the upstream is leaving.
     pub is_draining: bool,
 }
 
@@ -199,97 +207,99 @@
     }
 }
 
-/// How a send ended.
+/// The result of an attempt.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum AttemptResult {
-    /// A good answer for this send, shard and snapshot.
+    /// A good answer for this attempt, shard and snapshot.
     Answered,
-    /// Turned away; it did not run.
+    /// The upstream shed the request; it did not run.
     Shed {
-        /// The pause that the upstream asked for, 0 for none.
+        /// The pause that the upstream requested, or 0 for none.
         retry_after_us: u64,
     },
-    /// The snapshot or shard is not there; it did not run.
+    /// The replica does not hold the snapshot or shard; the request did not run.
     NotHeld,
-    /// Its time was over before it was sent.
+    /// The deadline passed before the request was sent; it did not run.
     NotSent,
-    /// No connection could be made; it did not run.
+    /// No connection could be established; the request did not run.
     ConnectFailed,
-    /// The connection ended before the answer; it may have run.
+    /// The connection was lost before the answer; the request may have run.
     ConnectionLost,
-    /// No answer in time; it may have run.
+    /// No answer arrived before the deadline; the request may have run.
     TimedOut,
-    /// The answer belongs to another send, shard or snapshot.
+    /// The answer belongs to another attempt, shard or snapshot.
     Mismatched,
-    /// The answer cannot be read.
+    /// The answer cannot be decoded.
     Malformed,
-    /// The upstream answered with a failure that proves nothing.
+    /// The upstream answered with a failure that does not show whether the request ran.
     Failed,
 }
 
-/// What came of reading a replica's status.
+/// The result of reading a replica's status.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum StatusReport {
-    /// The status.
+    /// The status was read.
     Read(UpstreamStatus),
-    /// A new connection could not be made.
+    /// A new connection could not be established.
     Unreachable,
-    /// A connection was made, but no status came.
+    /// A connection was established, but no status could be read.
     Unreadable,
 }
 
-/// What a lane asks its shell to do.
+/// An action that the scheduler asks its shell to perform.
 #[derive(Debug, Clone, PartialEq)]
 pub enum SchedulerEffect {
     /// Send a sub-request to a replica.
     Send {
-        /// The send; it must end in exactly one event.
+        /// The attempt; the shell must report its end in exactly one [`SchedulerEvent::Finished`]
+        /// or [`SchedulerEvent::Cancelled`].
         attempt: AttemptId,
         /// The sub-request.
         sub_request: SubRequestId,
         /// The replica.
         replica: EcoString,
     },
-    /// Tell the replica to stop a send, then report it cancelled.
+    /// Tell the replica to stop an attempt, then report [`SchedulerEvent::Cancelled`].
     Cancel {
-        /// The send.
+        /// The attempt.
         attempt: AttemptId,
     },
     /// Answer a sub-request.
     Reply {
         /// The sub-request.
         sub_request: SubRequestId,
-        /// The answer.
+        /// The outcome.
         outcome: SubOutcome,
-        /// The send whose body belongs to it.
+        /// The attempt whose body belongs to the answer.
         attempt: Option<AttemptId>,
     },
-    /// Use only new connections to a replica from now on.
+    /// Stop using the open connections to a replica; only new ones may be used.
     RetireConnections {
         /// The replica.
         replica: EcoString,
     },
-    /// Read a replica's status over a new connection; it must end in one status event.
+    /// Read a replica's status over a new connection and report it in one
+    /// [`SchedulerEvent::Status`].
     Probe {
         /// The replica.
         replica: EcoString,
-        /// The number to report it under.
+        /// The identifier to report it with.
         probe_id: u64,
     },
-    /// Tell the other lanes and nodes that a request crashes upstreams.
+    /// Tell the other schedulers and nodes that a request crashes upstreams.
     AnnounceQuarantine {
         /// A hash of kind and body.
         fingerprint: u64,
-        /// How long to refuse it.
+        /// The time for which to refuse it, in microseconds.
         ttl_us: u64,
     },
-    /// Hand the group to its new home.
+    /// Send the group's state to its new home.
     SendHandOver(HandOver),
-    /// Publish the group's holdings; they may have changed.
+    /// Publish the group's holdings, which may have changed.
     PublishHoldings,
-    /// Put an event on the time line.
+    /// Record an event on the timeline.
     RecordEvent {
-        /// The sub-request that it belongs to.
+        /// The sub-request that the event belongs to, if any.
         sub_request: Option<SubRequestId>,
         /// What happened.
         kind: EventKind,
--- a/crates/sassafrasproxy-core/src/scheduler/replica.rs
+++ b/crates/sassafrasproxy-core/src/scheduler/replica.rs
@@ -1,4 +1,4 @@
-//! One replica as its group's home sees it: phase, limit in flight and what it holds.
+//! The state of one replica at its group's home: phase, concurrency limit and held snapshots.
 
 use ecow::EcoString;
 use indexmap::IndexSet;
@@ -9,48 +9,51 @@
 use super::failure_backoff::FailureBackoff;
 use super::{ReplicaSpec, SchedulerPolicy, StatusReport};
 
-/// A replica that dies this soon after its limit grew must earn the next slot more slowly.
+/// A replica that restarts within this time after its limit changed must give more answers before
+/// its limit grows.
 const EARLY_CRASH_WINDOW_US: u64 = 30_000_000;
 
-/// How often such a death doubles the answers that it must give.
+/// The maximum number of times that early restarts double the answers required for a slot.
 const MAX_EARLY_CRASH_DOUBLINGS: u32 = 6;
 
-/// How many slow answers in a row are the sign of a cold start.
+/// The number of slow answers in a row from which a serving replica counts as cold.
 const SLOW_ANSWERS_FOR_COLD: u32 = 3;
 
-/// How many denied shards are kept for a replica.
+/// The maximum number of shards remembered as not held by a replica.
 const MAX_NOT_HELD_ENTRIES: usize = 64;
 
-/// How much each slow answer raises the norm: 5 times the norm becomes normal after 160 of them.
+/// The factor by which each slow answer raises the typical latency; about 160 slow answers raise it
+/// fivefold.
 const SLOW_LATENCY_GROWTH: f64 = 1.01;
 
-/// The weight of the newest latency in the running norm.
+/// The weight of the newest latency in the moving average.
 const LATENCY_EWMA_WEIGHT: f64 = 0.05;
 
-/// One replica of the lane's group.
+/// One replica of the scheduler's group.
 #[derive(Debug, Clone)]
 pub struct Replica {
     pub spec: ReplicaSpec,
     pub phase: Phase,
-    /// Sub-requests it may have in flight; between 1 and the policy's slots.
+    /// The number of sub-requests it may have in flight; between 1 and the policy's slots.
     pub limit: u32,
-    /// Sub-requests that hold a slot, those being cancelled included.
+    /// The number of attempts that hold a slot, including those being cancelled.
     pub in_flight: u32,
-    /// Changes when its connections are condemned.
+    /// Incremented when its open connections are retired.
     pub connection_generation: u64,
-    /// When anything last came back over the current generation of connections.
+    /// The time of its last good answer, shed request or refusal of a shard that it does not hold.
     pub last_answer_us: u64,
-    /// The number of the probe that must answer before new work is sent.
+    /// The probe that must be answered before new work is sent.
     pub awaited_probe_id: Option<u64>,
-    /// Requests that lost their connection since that probe was asked for.
+    /// The requests whose connection was lost and which that probe checks for a crash.
     pub lost_fingerprints: IndexSet<u64>,
-    /// What the platform's VM list says.
+    /// Whether the platform's VM list says that it is leaving.
     pub vm_leaving: bool,
-    /// Whether its failure domain is out.
+    /// Whether its failure domain is out of service.
     pub domain_out: bool,
-    /// Answers in a row that were no good.
+    /// The backoff after bad answers in a row.
     pub failure_backoff: FailureBackoff,
     boot_id: Option<EcoString>,
+    /// The boot id known when the first connection under check was lost.
     boot_id_at_loss: Option<EcoString>,
     held_snapshots: Vec<HeldSnapshot>,
     not_held: Vec<NotHeldShard>,
@@ -60,25 +63,25 @@
     reserved_until_us: u64,
     typical_latency_us: Option<f64>,
     slow_answers: u32,
-    /// Answers since the limit last changed that were as quick as those of a warm replica.
+    /// The number of answers since the limit last changed that were as fast as a warm replica's.
     warm_answers: u32,
     limit_changed_us: u64,
-    /// Whether its limit came from its old home before its first status.
+    /// Whether a hand-over set its limit before its first status arrived.
     has_handed_over_limit: bool,
-    /// Whether its last status said that it is cold.
+    /// Whether its last status reported it as cold.
     reports_cold: bool,
-    /// How often in a row it died soon after its limit had grown.
+    /// The number of restarts in a row that came soon after its limit changed.
     early_crashes: u32,
 }
 
-/// What a replica can be used for.
+/// Whether and how far a replica can be used.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Phase {
-    /// Nothing was heard of it yet.
+    /// No status has arrived yet.
     Unknown,
-    /// It started lately or looks as if it had; its limit grows from 1.
+    /// It restarted, returned, or shows signs of a cold cache; its limit grows from 1.
     Cold,
-    /// It serves at its full limit.
+    /// It has reached its full limit.
     Serving,
     /// It is leaving and gets no new work.
     Draining,
@@ -87,7 +90,7 @@
 }
 
 impl Phase {
-    /// The phase's name in status and time line.
+    /// Returns the phase's name in the node's status and the timeline.
     pub fn as_str(self) -> &'static str {
         match self {
             Self::Unknown => "unknown",
@@ -99,7 +102,8 @@
     }
 }
 
-/// A shard of a snapshot that the replica said it does not hold, whatever its status says.
+/// A shard of a snapshot that the replica refused as not held, which overrides its status until it
+/// expires.
 #[derive(Debug, Clone)]
 struct NotHeldShard {
     snapshot: SnapshotId,
@@ -107,19 +111,19 @@
     until_us: u64,
 }
 
-/// What an observation changed.
+/// The effect of an observation on a replica.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ReplicaChange {
-    /// Nothing that anyone else sees.
+    /// No change that is visible outside.
     None,
-    /// The limit only.
+    /// Only the limit changed.
     Limit,
-    /// The phase, noticed by the named sign.
+    /// The phase changed; names the sign that caused it.
     Phase(&'static str),
 }
 
 impl Replica {
-    /// A replica of which nothing is known.
+    /// Creates a replica in the phase [`Phase::Unknown`] with a limit of 1.
     pub fn new(spec: ReplicaSpec) -> Self {
         Self {
             spec,
@@ -151,67 +155,68 @@
         }
     }
 
-    /// Whether new work may go to it at all, now or when a pause ends.
+    /// Whether it may get new work, now or after a pause.
     pub fn is_usable(&self) -> bool {
         matches!(self.phase, Phase::Cold | Phase::Serving) && !self.vm_leaving && !self.domain_out
     }
 
-    /// Whether its slots have room for one more sub-request.
+    /// Whether it can take one more sub-request now.
     pub fn has_free_slot(&self, now_us: u64) -> bool {
-        let lent = if self.reserved_until_us > now_us { self.reserved_slots } else { 0 };
+        let reserved = if self.reserved_until_us > now_us { self.reserved_slots } else { 0 };
         self.is_usable()
             && self.awaited_probe_id.is_none()
             && !self.is_paused(now_us)
-            && self.in_flight + lent < self.limit
+            && self.in_flight + reserved < self.limit
     }
 
-    /// Whether it shed lately and asked for a pause.
+    /// Whether it is paused after shedding a request.
     pub fn is_paused(&self, now_us: u64) -> bool {
         self.paused_until_us > now_us
     }
 
-    /// The next time at which room may appear by itself.
+    /// Returns the next time at which a slot may become free without an event: the end of a pause,
+    /// a reservation or a backoff.
     pub fn next_free_slot_us(&self, now_us: u64) -> Option<u64> {
-        let lent_until_us = if self.reserved_slots > 0 { self.reserved_until_us } else { 0 };
+        let reserved_until_us = if self.reserved_slots > 0 { self.reserved_until_us } else { 0 };
         let retry_us = self.failure_backoff.retry_at_us(now_us).unwrap_or(0);
-        [self.paused_until_us, lent_until_us, retry_us]
+        [self.paused_until_us, reserved_until_us, retry_us]
             .into_iter()
             .filter(|at_us| *at_us > now_us)
             .min()
     }
 
-    /// Whether it holds a shard of a snapshot, as far as it said.
+    /// Whether it holds a shard of a snapshot, by its last status and its refusals.
     pub fn holds(&self, snapshot: SnapshotId, shard: &str, now_us: u64) -> bool {
         let held = self
             .held_snapshots
             .iter()
             .any(|held| held.id == snapshot && held.shards.iter().any(|name| name == shard));
-        held && !self.not_held.iter().any(|denied| {
-            denied.snapshot == snapshot && denied.shard == shard && denied.until_us > now_us
+        held && !self.not_held.iter().any(|entry| {
+            entry.snapshot == snapshot && entry.shard == shard && entry.until_us > now_us
         })
     }
 
-    /// The snapshots that it says it holds.
+    /// Returns the snapshots that its last status listed.
     pub fn held_snapshots(&self) -> &[HeldSnapshot] {
         &self.held_snapshots
     }
 
-    /// How loaded it is, for the choice between replicas: smaller is better.
+    /// Returns the cost of one more sub-request, from load and latency; lower is better.
     pub fn cost(&self) -> f64 {
-        let busy = f64::from(self.in_flight + 1) / f64::from(self.limit.max(1));
-        busy * self.typical_latency_us.unwrap_or(1.0).max(1.0)
+        let utilization = f64::from(self.in_flight + 1) / f64::from(self.limit.max(1));
+        utilization * self.typical_latency_us.unwrap_or(1.0).max(1.0)
     }
 
-    /// Its usual latency.
+    /// Returns its typical latency in microseconds, once it has answered.
     pub fn typical_latency_us(&self) -> Option<u64> {
-        self.typical_latency_us.map(|norm_us| norm_us as u64)
+        self.typical_latency_us.map(|typical_us| typical_us as u64)
     }
 
-    /// Takes a good answer into account: the limit grows by good answers and time together.
+    /// Records a good answer; the limit grows after enough warm answers and enough time.
     ///
-    /// `warm_us` is the latency of the group's quickest replica, if any is known. Guards against
-    /// an upstream that falls over under load while its caches are cold, whatever its status
-    /// says: only answers about as quick as a warm replica's count towards the next slot.
+    /// `warm_us` is the typical latency of the group's quickest replica, if known. Guards against
+    /// an upstream that fails under load while its caches are cold, whatever its status reports:
+    /// only answers about as fast as a warm replica's count towards the next slot.
     pub fn record_answer(
         &mut self,
         now_us: u64,
@@ -222,18 +227,18 @@
     ) -> ReplicaChange {
         self.last_answer_us = now_us;
         self.failure_backoff.record_success();
-        let norm_us = self.typical_latency_us.unwrap_or(latency_us as f64);
-        let is_slow = latency_us as f64 > norm_us * policy.slow_factor;
+        let typical_us = self.typical_latency_us.unwrap_or(latency_us as f64);
+        let is_slow = latency_us as f64 > typical_us * policy.slow_factor;
         self.slow_answers = if is_slow { self.slow_answers + 1 } else { 0 };
         if self.slow_answers >= SLOW_ANSWERS_FOR_COLD && self.phase == Phase::Serving {
             return self.reset_to_cold(now_us, "latency");
         }
         if !is_slow || self.typical_latency_us.is_none() {
             self.typical_latency_us =
-                Some(norm_us + LATENCY_EWMA_WEIGHT * (latency_us as f64 - norm_us));
+                Some(typical_us + LATENCY_EWMA_WEIGHT * (latency_us as f64 - typical_us));
         } else {
-            // A norm that never follows a lasting change would hold the limit down for good.
-            self.typical_latency_us = Some(norm_us * SLOW_LATENCY_GROWTH);
+            // Follows a lasting increase, which would otherwise keep the limit low forever.
+            self.typical_latency_us = Some(typical_us * SLOW_LATENCY_GROWTH);
         }
         let is_warm =
             warm_us.is_none_or(|warm_us| latency_us as f64 <= warm_us as f64 * policy.warm_factor);
@@ -244,7 +249,7 @@
         if may_grow { self.raise_limit(now_us, policy) } else { ReplicaChange::None }
     }
 
-    /// Takes a shed request into account: the limit is halved, at most once in a pause.
+    /// Records a shed request: pauses the replica and halves its limit, at most once per pause.
     pub fn record_shed(
         &mut self,
         now_us: u64,
@@ -271,7 +276,7 @@
         ReplicaChange::Limit
     }
 
-    /// Takes an answer header or a status with a boot id into account.
+    /// Records the boot id of an answer or a status; a changed one means that it restarted.
     pub fn record_boot_id(&mut self, boot_id: &EcoString, now_us: u64) -> ReplicaChange {
         if self.boot_id.as_ref() == Some(boot_id) {
             return ReplicaChange::None;
@@ -281,21 +286,21 @@
         if is_first {
             return ReplicaChange::None;
         }
-        let died_growing = now_us < self.limit_changed_us + EARLY_CRASH_WINDOW_US;
-        self.early_crashes = if died_growing { self.early_crashes + 1 } else { 0 };
+        let is_early_crash = now_us < self.limit_changed_us + EARLY_CRASH_WINDOW_US;
+        self.early_crashes = if is_early_crash { self.early_crashes + 1 } else { 0 };
         self.reset_to_cold(now_us, "boot_id")
     }
 
-    /// Waits for a probe before new work is sent, because a connection was lost mid-request.
-    pub fn await_probe(&mut self, number: u64, fingerprint: u64) {
+    /// Withholds new work until a probe is answered, because a connection was lost mid-request.
+    pub fn await_probe(&mut self, probe_id: u64, fingerprint: u64) {
         if self.awaited_probe_id.is_none() {
             self.boot_id_at_loss.clone_from(&self.boot_id);
         }
-        self.awaited_probe_id = Some(number);
+        self.awaited_probe_id = Some(probe_id);
         self.lost_fingerprints.insert(fingerprint);
     }
 
-    /// Whether a probe's report shows that the process of the time of the loss died.
+    /// Whether a probe's report shows that the process which lost the connection has crashed.
     pub fn confirms_crash(&self, report: &StatusReport) -> bool {
         match report {
             StatusReport::Read(status) => {
@@ -306,7 +311,7 @@
         }
     }
 
-    /// Believes that it is leaving, from any one source.
+    /// Marks it as leaving; a single source is enough.
     pub fn mark_draining(&mut self, sign: &'static str) -> ReplicaChange {
         if self.phase == Phase::Draining {
             return ReplicaChange::None;
@@ -315,7 +320,7 @@
         ReplicaChange::Phase(sign)
     }
 
-    /// Takes a failed new connection into account.
+    /// Marks it as down after a new connection failed.
     pub fn mark_down(&mut self) -> ReplicaChange {
         if self.phase == Phase::Down {
             return ReplicaChange::None;
@@ -325,21 +330,21 @@
         ReplicaChange::Phase("connect")
     }
 
-    /// Takes its own report into account, which may lag or be wrong.
+    /// Records its status, which may be stale or wrong.
     ///
-    /// The report can take work away at once. It gives none back by itself: a replica that was
-    /// down or leaving starts at a limit of 1 again and earns more by answers.
+    /// A status can stop new work or lower the limit at once, but it never raises the limit: a
+    /// replica that was down or leaving restarts at a limit of 1, which only answers raise.
     pub fn record_status(
         &mut self,
         status: &UpstreamStatus,
         slots: u32,
         now_us: u64,
     ) -> ReplicaChange {
-        let was = self.phase;
+        let previous_phase = self.phase;
         let boot_change = self.record_boot_id(&status.boot_id, now_us);
         self.held_snapshots.clone_from(&status.snapshots);
         self.reports_cold = status.state == UpstreamState::Cold;
-        match (status.state, was) {
+        match (status.state, previous_phase) {
             (UpstreamState::Draining, _) => self.mark_draining("status"),
             (UpstreamState::Cold, Phase::Serving) => self.reset_to_cold(now_us, "status"),
             (_, Phase::Unknown)
@@ -350,13 +355,13 @@
             }
             (_, Phase::Unknown) => self.reset_to_cold(now_us, "first_status"),
             (_, Phase::Down) => self.reset_to_cold(now_us, "reachable"),
-            // An old process's "serving" may be a stale report; only a new process is back.
+            // "Serving" from the same process may be stale; only a new process ends the drain.
             (_, Phase::Draining) => boot_change,
             (_, Phase::Cold | Phase::Serving) => boot_change,
         }
     }
 
-    /// Stops believing, for a while, that it holds a shard of a snapshot.
+    /// Records until `until_us` that it does not hold a shard of a snapshot.
     pub fn record_not_held(&mut self, snapshot: SnapshotId, shard: &EcoString, until_us: u64) {
         if self.not_held.len() >= MAX_NOT_HELD_ENTRIES {
             self.not_held.remove(0);
@@ -364,7 +369,7 @@
         self.not_held.push(NotHeldShard { snapshot, shard: shard.clone(), until_us });
     }
 
-    /// Starts the ramp again, because its caches are cold or the load was away.
+    /// Restarts the ramp at a limit of 1, because its caches are cold or its load went elsewhere.
     pub fn reset_to_cold(&mut self, now_us: u64, sign: &'static str) -> ReplicaChange {
         self.phase = Phase::Cold;
         self.limit = 1;
@@ -374,25 +379,25 @@
         ReplicaChange::Phase(sign)
     }
 
-    /// Keeps free what its old home still uses, until that has surely ended.
-    pub fn reserve_for_old_home(&mut self, given: &ReplicaHandOver, now_us: u64) {
-        self.reserved_slots = given.in_flight;
-        self.reserved_until_us = now_us + given.busy_ms * crate::US_PER_MS;
+    /// Reserves the slots that its old home still uses, until the last deadline of its attempts.
+    pub fn reserve_for_old_home(&mut self, hand_over: &ReplicaHandOver, now_us: u64) {
+        self.reserved_slots = hand_over.in_flight;
+        self.reserved_until_us = now_us + hand_over.busy_ms * crate::US_PER_MS;
     }
 
-    /// Takes the limit that its old home had learned.
-    pub fn apply_hand_over(&mut self, given: &ReplicaHandOver, slots: u32, now_us: u64) {
-        self.limit = given.limit.clamp(1, slots);
-        self.boot_id.clone_from(&given.boot_id);
+    /// Applies the limit and boot id that its old home knew.
+    pub fn apply_hand_over(&mut self, hand_over: &ReplicaHandOver, slots: u32, now_us: u64) {
+        self.limit = hand_over.limit.clamp(1, slots);
+        self.boot_id.clone_from(&hand_over.boot_id);
         self.limit_changed_us = now_us;
-        // What it holds is known only from its first status; until then its phase is unknown.
+        // Its snapshots are known only from its first status; until then the phase stays unknown.
         self.has_handed_over_limit = self.phase == Phase::Unknown;
         if self.limit == slots && self.phase == Phase::Cold {
             self.phase = Phase::Serving;
         }
     }
 
-    /// What its next home needs to know.
+    /// Returns the state that its next home needs.
     pub fn to_hand_over(&self, busy_until_us: u64, now_us: u64) -> ReplicaHandOver {
         ReplicaHandOver {
             address: self.spec.address.clone(),
@@ -403,13 +408,14 @@
         }
     }
 
-    /// Raises the limit by one when enough answers were good for long enough.
+    /// Raises the limit by one after enough warm answers and enough time; at the full limit the
+    /// replica is serving.
     fn raise_limit(&mut self, now_us: u64, policy: &SchedulerPolicy) -> ReplicaChange {
-        let wanted = (policy.ramp_answers_per_slot * self.limit)
+        let required_answers = (policy.ramp_answers_per_slot * self.limit)
             << self.early_crashes.min(MAX_EARLY_CRASH_DOUBLINGS);
-        let is_ripe = now_us >= self.limit_changed_us + policy.min_ramp_step_us
-            && self.warm_answers >= wanted;
-        if !is_ripe || self.reports_cold || self.phase != Phase::Cold {
+        let is_due = now_us >= self.limit_changed_us + policy.min_ramp_step_us
+            && self.warm_answers >= required_answers;
+        if !is_due || self.reports_cold || self.phase != Phase::Cold {
             return ReplicaChange::None;
         }
         if self.limit >= policy.slots {
--- a/crates/sassafrasproxy-core/src/scheduler/results.rs
+++ b/crates/sassafrasproxy-core/src/scheduler/results.rs
@@ -1,4 +1,4 @@
-//! What comes back: answers, refusals and failures of sends, statuses, and time that is over.
+//! Handles the results of attempts, replica statuses and passed deadlines.
 
 use ecow::EcoString;
 use indexmap::IndexSet;
@@ -11,17 +11,22 @@
     SchedulerEffect, StatusReport, SubRequestId,
 };
 
-/// How often a sub-request may be shed or turned away before the home gives up on it.
+/// The number of attempts after which the home no longer retries a sub-request.
 const MAX_ATTEMPTS: u32 = 4;
 
 impl Scheduler {
-    /// Ends one send.
-    pub(super) fn handle_finished(&mut self, now_us: u64, id: AttemptId, report: &AttemptReport) {
-        let Some(attempt) = self.release_slot(id) else { return };
+    /// Handles the end of an attempt.
+    pub(super) fn handle_finished(
+        &mut self,
+        now_us: u64,
+        attempt_id: AttemptId,
+        report: &AttemptReport,
+    ) {
+        let Some(attempt) = self.release_slot(attempt_id) else { return };
         self.report_to_new_home(now_us);
         self.record_headers(now_us, &attempt, report);
         match report.result {
-            AttemptResult::Answered => self.handle_answer(now_us, id, &attempt),
+            AttemptResult::Answered => self.handle_answer(now_us, attempt_id, &attempt),
             AttemptResult::Shed { retry_after_us } => {
                 self.handle_shed(now_us, &attempt, retry_after_us);
             }
@@ -49,7 +54,7 @@
         }
     }
 
-    /// Takes in what the answer's headers say, whatever the result is.
+    /// Records what the answer's headers said, whatever the result is.
     fn record_headers(&mut self, now_us: u64, attempt: &Attempt, report: &AttemptReport) {
         if let Some(boot_id) = &report.boot_id {
             self.update_replica(&attempt.replica, |replica| {
@@ -61,8 +66,8 @@
         }
     }
 
-    /// Passes the first good answer on and cancels the other sends.
-    fn handle_answer(&mut self, now_us: u64, id: AttemptId, attempt: &Attempt) {
+    /// Replies with the first good answer and cancels the sub-request's other attempts.
+    fn handle_answer(&mut self, now_us: u64, attempt_id: AttemptId, attempt: &Attempt) {
         let latency_us = now_us.saturating_sub(attempt.started_us);
         let may_grow = self.may_grow_limits(now_us);
         let policy = self.configuration.policy;
@@ -74,10 +79,10 @@
         let Some(state) = self.pending.get(&attempt.sub_request) else { return };
         let shard = state.spec.shard.clone();
         self.latencies.entry(shard).or_default().record(latency_us);
-        self.reply(attempt.sub_request, SubOutcome::Answered, Some(id));
+        self.reply(attempt.sub_request, SubOutcome::Answered, Some(attempt_id));
     }
 
-    /// Backs off from a replica that shed; the sub-request did not run there.
+    /// Pauses a replica that shed and retries; the sub-request did not run there.
     fn handle_shed(&mut self, now_us: u64, attempt: &Attempt, retry_after_us: u64) {
         let policy = self.configuration.policy;
         self.update_replica(&attempt.replica, |replica| {
@@ -86,7 +91,8 @@
         self.retry_or_reply(attempt, Reason::Shed, false);
     }
 
-    /// Stops asking a replica for what it does not hold; the sub-request did not run there.
+    /// Stops asking a replica for a shard that it does not hold and retries; the sub-request did
+    /// not run there.
     fn handle_not_held(&mut self, now_us: u64, attempt: &Attempt) {
         let until_us = now_us + self.configuration.policy.not_held_ttl_us;
         if let (Some(replica), Some(state)) =
@@ -100,19 +106,19 @@
         self.retry_or_reply(attempt, Reason::NotHeld, false);
     }
 
-    /// Holds a sub-request back until a probe tells whether the upstream died under it.
+    /// Probes the replica to find out whether it crashed, and retries the sub-request afterwards.
     ///
-    /// Guards against counting a cut connection as a crash: only a refused new connection or a
-    /// new boot id, seen by a probe sent after the loss, confirms a death.
+    /// Guards against counting a lost connection as a crash: only a refused new connection or a
+    /// new boot id, seen by a probe sent after the loss, confirms a crash.
     fn handle_connection_lost(&mut self, attempt: &Attempt) {
-        let number = self.send_probe(&attempt.replica);
+        let probe_id = self.send_probe(&attempt.replica);
         if let Some(replica) = self.replicas.get_mut(&attempt.replica) {
-            replica.await_probe(number, attempt.fingerprint);
+            replica.await_probe(probe_id, attempt.fingerprint);
         }
         self.handle_failure(attempt, Reason::ConnectionLost);
     }
 
-    /// Ends a send whose answer was no good, and keeps work away from a replica that gives several.
+    /// Handles a bad answer; several in a row make the scheduler back off from the replica.
     fn handle_bad_answer(&mut self, now_us: u64, attempt: &Attempt, reason: Reason) {
         if let Some(replica) = self.replicas.get_mut(&attempt.replica) {
             replica.failure_backoff.record_failure(now_us);
@@ -120,12 +126,14 @@
         self.handle_failure(attempt, reason);
     }
 
-    /// Ends a send that may have run.
+    /// Handles a failed attempt that may have run.
     fn handle_failure(&mut self, attempt: &Attempt, reason: Reason) {
         self.retry_or_reply(attempt, reason, true);
     }
 
-    /// Queues a sub-request again, or ends it when it may not be sent again.
+    /// Queues a sub-request for a retry, or replies with a failure if it may not be sent again.
+    ///
+    /// Does neither while another attempt is active or the sub-request is queued already.
     fn retry_or_reply(&mut self, attempt: &Attempt, reason: Reason, may_have_run: bool) {
         let Some(state) = self.pending.get_mut(&attempt.sub_request) else { return };
         state.failed_replicas.push(attempt.replica.clone());
@@ -146,30 +154,30 @@
         self.record_retry(attempt.sub_request, reason);
     }
 
-    /// Puts a retry on the time line.
-    pub(super) fn record_retry(&mut self, key: SubRequestId, reason: Reason) {
-        let Some(state) = self.pending.get(&key) else { return };
+    /// Records a retry on the timeline.
+    pub(super) fn record_retry(&mut self, sub_request: SubRequestId, reason: Reason) {
+        let Some(state) = self.pending.get(&sub_request) else { return };
         let shard = ShardId::new(self.configuration.service.clone(), state.spec.shard.clone());
         let kind = EventKind::Retried { shard, reason };
-        self.effects.push(SchedulerEffect::RecordEvent { sub_request: Some(key), kind });
+        self.effects.push(SchedulerEffect::RecordEvent { sub_request: Some(sub_request), kind });
     }
 
-    /// Takes a status or its failure in, and settles what waited for that probe.
+    /// Handles a status or the failure to read it, and completes the crash check that awaited it.
     pub(super) fn handle_status(
         &mut self,
         now_us: u64,
         address: &EcoString,
-        probe: Option<u64>,
+        probe_id: Option<u64>,
         report: &StatusReport,
     ) {
         let Some(replica) = self.replicas.get_mut(address) else { return };
-        let before = replica.held_snapshots().to_vec();
-        let mut lost_under = IndexSet::new();
-        if probe.is_some() && probe == replica.awaited_probe_id {
+        let old_snapshots = replica.held_snapshots().to_vec();
+        let mut crash_fingerprints = IndexSet::new();
+        if probe_id.is_some() && probe_id == replica.awaited_probe_id {
             replica.awaited_probe_id = None;
-            let is_death = replica.confirms_crash(report);
-            lost_under = std::mem::take(&mut replica.lost_fingerprints);
-            lost_under.retain(|_| is_death);
+            let is_crash = replica.confirms_crash(report);
+            crash_fingerprints = std::mem::take(&mut replica.lost_fingerprints);
+            crash_fingerprints.retain(|_| is_crash);
         }
         let slots = self.configuration.policy.slots;
         match report {
@@ -184,18 +192,22 @@
             StatusReport::Unreadable if replica.phase == Phase::Unknown => {
                 self.update_replica(address, Replica::mark_down);
             }
-            // A status page that fails while answers come in says nothing of the replica.
+            // An unreadable status does not show that the replica is down: it may still answer.
             StatusReport::Unreadable => {}
         }
-        if self.replicas.get(address).is_some_and(|replica| replica.held_snapshots() != before) {
+        if self
+            .replicas
+            .get(address)
+            .is_some_and(|replica| replica.held_snapshots() != old_snapshots)
+        {
             self.effects.push(SchedulerEffect::PublishHoldings);
         }
-        for fingerprint in lost_under {
+        for fingerprint in crash_fingerprints {
             self.confirm_crash(now_us, fingerprint);
         }
     }
 
-    /// Counts an upstream's death under a request, once a probe has confirmed it.
+    /// Records a crash under a request, which suspects or quarantines the request.
     fn confirm_crash(&mut self, now_us: u64, fingerprint: u64) {
         let ttl_us = self.configuration.policy.quarantine_ttl_us;
         let text = ecow::eco_format!("{fingerprint:016x}");
@@ -209,24 +221,24 @@
         self.effects.push(SchedulerEffect::RecordEvent { sub_request: None, kind });
     }
 
-    /// Ends the sub-requests whose time is over.
+    /// Replies to the sub-requests whose deadline has passed.
     pub(super) fn reply_overdue(&mut self, now_us: u64) {
         let is_overdue = |state: &&PendingSubRequest| state.spec.deadline_us <= now_us;
         let overdue: Vec<SubRequestId> =
             self.pending.values().filter(is_overdue).map(|state| state.spec.id).collect();
-        for key in overdue {
-            let outcome = self.overdue_outcome(key);
-            self.queue.retain(|queued| *queued != key);
-            self.reply(key, outcome, None);
+        for sub_request in overdue {
+            let outcome = self.overdue_outcome(sub_request);
+            self.queue.retain(|queued| *queued != sub_request);
+            self.reply(sub_request, outcome, None);
         }
     }
 
-    /// What to say of a sub-request whose time is over.
-    fn overdue_outcome(&self, key: SubRequestId) -> SubOutcome {
-        let state = self.pending.get(&key);
+    /// Returns the outcome of a sub-request whose deadline has passed.
+    fn overdue_outcome(&self, sub_request: SubRequestId) -> SubOutcome {
+        let state = self.pending.get(&sub_request);
         let was_sent = state.is_some_and(|state| state.attempt_count > 0);
         let unsent_reason = if was_sent { Reason::DeadlineExceeded } else { Reason::Overloaded };
         let reason = state.and_then(|state| state.last_reason).unwrap_or(unsent_reason);
-        self.refusal_outcome(key, reason)
+        self.refusal_outcome(sub_request, reason)
     }
 }
