--- a/crates/sassafrasproxy-core/src/scheduler/mod.rs
+++ b/crates/sassafrasproxy-core/src/scheduler/mod.rs
@@ -1,4 +1,5 @@
-//! The lane of a replica group at its home: queue, slots, hedges, retries and protection.
+//! The scheduler of a replica group at its home: queue, concurrency limits, hedges, retries,
+//! stall detection and crash quarantine.
 
 mod budget;
 mod crash_suspects;
@@ -26,66 +27,69 @@
 use self::crash_suspects::CrashSuspects;
 use self::replica::{Phase, Replica, ReplicaChange};
 
-/// All that a home decides for one replica group.
+/// Makes all decisions of a home about one replica group.
 ///
-/// Every [`LaneEffect::Send`] is answered by exactly one [`LaneEvent::Finished`] or
-/// [`LaneEvent::Cancelled`], which frees the slot; so `in_flight` is what upstreams really hold.
+/// Every [`SchedulerEffect::Send`] is followed by exactly one [`SchedulerEvent::Finished`] or
+/// [`SchedulerEvent::Cancelled`], which frees the slot. A replica's `in_flight` therefore counts
+/// what the upstream still holds.
 #[derive(Debug)]
 pub struct Scheduler {
     configuration: SchedulerConfiguration,
     role: HomeRole,
-    /// This node's name, once it was home.
+    /// This node's name; empty until it first stopped being home.
     local_node: EcoString,
-    /// The latest hand-over taken since this node became home.
+    /// The sequence number of the latest hand-over applied since this node became home.
     last_hand_over_sequence: Option<u64>,
     replicas: IndexMap<EcoString, Replica>,
-    /// Sub-requests that wait for a slot, in the order to serve them; all are in `subs`.
+    /// Sub-requests that wait for a slot, in dispatch order; all are in `pending`.
     queue: VecDeque<SubRequestId>,
+    /// Sub-requests without a reply.
     pending: IndexMap<SubRequestId, PendingSubRequest>,
-    /// Sends that hold a slot.
+    /// Attempts that hold a slot.
     attempts: IndexMap<AttemptId, Attempt>,
     budget: HedgeRetryBudget,
     suspects: CrashSuspects,
+    /// Recent latencies by shard.
     latencies: IndexMap<EcoString, LatencyWindow>,
     next_attempt_id: u64,
     next_probe_id: u64,
     effects: Vec<SchedulerEffect>,
 }
 
-/// What the lane's node is to the group.
+/// The role of the scheduler's node for the group.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum HomeRole {
-    /// The home; limits may grow from `full_from_us` on.
+    /// The home; limits may grow from `limits_grow_from_us` on.
     Home { limits_grow_from_us: u64 },
-    /// Asked only because the home could not be reached: every limit stays at 1.
+    /// Asked only when the home cannot be reached; every limit stays at 1.
     Fallback,
-    /// The home until lately; tells the new one as its last sends end. Else like a fallback.
+    /// The former home; reports each end of an attempt to the new home. Otherwise like a fallback.
     FormerHome { sequence: u64 },
 }
 
-/// A sub-request that is not answered yet.
+/// A sub-request without a reply.
 #[derive(Debug)]
 struct PendingSubRequest {
     spec: SubRequestSpec,
-    /// How often it was sent.
+    /// The number of attempts so far.
     attempt_count: u32,
-    /// Sends that have not ended, those being cancelled excluded.
+    /// Attempts that have not ended, excluding those given up after a stall.
     active_attempts: Vec<AttemptId>,
-    /// Replicas that failed it.
+    /// The replicas of its attempts that ended without a good answer.
     failed_replicas: Vec<EcoString>,
-    /// Whether its one hedge was used.
+    /// Whether its only hedge was started or refused by the budget.
     is_hedged: bool,
-    /// Sends after silent connections, which are free of the budget.
+    /// The number of resends after stalled connections, which take nothing from the budget.
     stall_resends: u32,
-    /// Whether its next send must be paid from the budget.
+    /// Whether its next attempt takes a token from the budget.
     needs_budget: bool,
-    /// Whether a send that did not answer may have run.
+    /// Whether an attempt that gave no answer may have run.
     may_have_run: bool,
-    /// The reason of its last failure, for the answer if no other way is left.
+    /// The reason of its last failure, for the reply if it is not retried.
     last_reason: Option<Reason>,
 }
 
-/// One send to a replica.
+/// One attempt of a sub-request at a replica.
 #[derive(Debug)]
 struct Attempt {
     sub_request: SubRequestId,
@@ -98,7 +102,8 @@
 }
 
 impl Scheduler {
-    /// A lane that has heard nothing yet; it is only asked as a fallback until told otherwise.
+    /// Creates a scheduler without any replica status; it acts as a fallback until
+    /// [`SchedulerEvent::BecomeHome`].
     pub fn new(configuration: SchedulerConfiguration) -> Self {
         let budget = HedgeRetryBudget::new(
             configuration.policy.budget_fraction,
@@ -109,7 +114,7 @@
             .iter()
             .map(|spec| (spec.address.clone(), Replica::new(spec.clone())))
             .collect();
-        let mut lane = Self {
+        let mut scheduler = Self {
             configuration,
             role: HomeRole::Fallback,
             local_node: EcoString::new(),
@@ -125,14 +130,14 @@
             next_probe_id: 0,
             effects: Vec::new(),
         };
-        lane.update_exclusions(0);
-        lane
+        scheduler.update_exclusions(0);
+        scheduler
     }
 
-    /// Takes one event in and returns what to do, in order.
+    /// Handles one event and returns the effects to perform, in order.
     pub fn step(&mut self, now_us: u64, event: SchedulerEvent) -> Vec<SchedulerEffect> {
         match event {
-            SchedulerEvent::Submit(sub) => self.submit(now_us, sub),
+            SchedulerEvent::Submit(spec) => self.submit(now_us, spec),
             SchedulerEvent::Finished { attempt, report } => {
                 self.handle_finished(now_us, attempt, &report);
             }
@@ -140,14 +145,14 @@
                 self.release_slot(attempt);
                 self.report_to_new_home(now_us);
             }
-            SchedulerEvent::Abandon { sub_request: sub } => self.abandon(sub),
-            SchedulerEvent::Status { replica, probe_id: probe, report } => {
-                self.handle_status(now_us, &replica, probe, &report);
+            SchedulerEvent::Abandon { sub_request } => self.abandon(sub_request),
+            SchedulerEvent::Status { replica, probe_id, report } => {
+                self.handle_status(now_us, &replica, probe_id, &report);
             }
             SchedulerEvent::Reconfigure(configuration) => self.reconfigure(now_us, configuration),
             SchedulerEvent::BecomeHome { view_skew_us } => self.become_home(now_us, view_skew_us),
-            SchedulerEvent::LoseHome { local_node: me } => self.lose_home(now_us, me),
-            SchedulerEvent::HandOverReceived(given) => self.apply_hand_over(now_us, &given),
+            SchedulerEvent::LoseHome { local_node } => self.lose_home(now_us, local_node),
+            SchedulerEvent::HandOverReceived(hand_over) => self.apply_hand_over(now_us, &hand_over),
             SchedulerEvent::Quarantine { fingerprint, ttl_us } => {
                 self.suspects.quarantine(fingerprint, now_us + ttl_us);
             }
@@ -160,26 +165,27 @@
         std::mem::take(&mut self.effects)
     }
 
-    /// When the lane wants its next [`LaneEvent::Timer`] at the latest.
+    /// Returns the latest time for the next [`SchedulerEvent::Timer`], or `None` if none is needed.
     pub fn next_timer_us(&self, now_us: u64) -> Option<u64> {
         let deadlines = self.pending.values().map(|state| state.spec.deadline_us);
         let hedges = self.pending.values().filter_map(|state| self.hedge_at_us(state));
-        let silences = self.attempts.values().filter_map(|attempt| self.stall_at_us(attempt));
-        let rooms = self.replicas.values().filter_map(|replica| replica.next_free_slot_us(now_us));
-        let rooms = rooms.filter(|_| !self.queue.is_empty());
+        let stalls = self.attempts.values().filter_map(|attempt| self.stall_at_us(attempt));
+        let free_slots =
+            self.replicas.values().filter_map(|replica| replica.next_free_slot_us(now_us));
+        let free_slots = free_slots.filter(|_| !self.queue.is_empty());
         deadlines
             .chain(hedges.filter(|at_us| *at_us > now_us))
-            .chain(silences.filter(|at_us| *at_us > now_us))
-            .chain(rooms)
+            .chain(stalls.filter(|at_us| *at_us > now_us))
+            .chain(free_slots)
             .min()
     }
 
-    /// Whether each replica was heard of, so that the holdings are worth publishing.
+    /// Whether the phase of every replica is known, so that the holdings can be published.
     pub fn has_all_statuses(&self) -> bool {
         self.replicas.values().all(|replica| replica.phase != Phase::Unknown)
     }
 
-    /// What the group can serve now, made by its home at a time.
+    /// Returns the snapshots and shards that the usable replicas can serve.
     pub fn holdings(&self, home: EcoString, made_at: Hlc) -> GroupHoldings {
         let mut snapshots: IndexMap<SnapshotId, SnapshotHolding> = IndexMap::new();
         for replica in self.replicas.values().filter(|replica| replica.is_usable()) {
@@ -205,7 +211,7 @@
         GroupHoldings { group: self.configuration.group.clone(), home, made_at, snapshots }
     }
 
-    /// Each replica, for the node's status.
+    /// Returns the state of each replica for the node's status.
     pub fn replica_statuses(&self) -> Vec<ReplicaStatus> {
         let queued = self.queue.len() as u32;
         let status = |replica: &Replica| ReplicaStatus {
@@ -225,12 +231,12 @@
         self.replicas.values().map(status).collect()
     }
 
-    /// Whether nothing is queued or in flight.
+    /// Whether no sub-request is pending and no attempt holds a slot.
     pub fn is_idle(&self) -> bool {
         self.pending.is_empty() && self.attempts.is_empty()
     }
 
-    /// Takes a changed configuration over, keeping what is known of replicas that stay.
+    /// Applies a changed configuration and keeps the state of replicas that stay.
     fn reconfigure(&mut self, now_us: u64, configuration: SchedulerConfiguration) {
         let mut old = std::mem::take(&mut self.replicas);
         for spec in &configuration.replicas {
@@ -245,39 +251,39 @@
         self.effects.push(SchedulerEffect::PublishHoldings);
     }
 
-    /// Marks the replicas that the operators or the platform take out.
+    /// Marks the replicas whose failure domain is out of service or whose VM is leaving.
     ///
-    /// A replica that comes back starts cold: its caches are, and its load went elsewhere.
+    /// A replica that is brought back starts cold: its caches are cold and its load went elsewhere.
     fn update_exclusions(&mut self, now_us: u64) {
         for replica in self.replicas.values_mut() {
-            let was_away = replica.domain_out || replica.vm_leaving;
+            let was_excluded = replica.domain_out || replica.vm_leaving;
             let domain = &replica.spec.failure_domain;
             replica.domain_out = self.configuration.domains_out.contains(domain);
             replica.vm_leaving =
                 self.configuration.leaving_upstreams.contains(&replica.spec.address);
-            if was_away && !replica.domain_out && !replica.vm_leaving && replica.is_usable() {
+            if was_excluded && !replica.domain_out && !replica.vm_leaving && replica.is_usable() {
                 replica.reset_to_cold(now_us, "returned");
             }
         }
     }
 
-    /// Forgets a sub-request whose caller went away.
-    fn abandon(&mut self, key: SubRequestId) {
-        self.queue.retain(|queued| *queued != key);
-        if let Some(state) = self.pending.swap_remove(&key) {
+    /// Drops a sub-request that nobody waits for and cancels its attempts.
+    fn abandon(&mut self, sub_request: SubRequestId) {
+        self.queue.retain(|queued| *queued != sub_request);
+        if let Some(state) = self.pending.swap_remove(&sub_request) {
             self.cancel_all(&state.active_attempts);
         }
     }
 
-    /// Asks for a status over a new connection and returns the probe's number.
+    /// Requests a status over a new connection and returns the probe's id.
     fn send_probe(&mut self, address: &EcoString) -> u64 {
         self.next_probe_id += 1;
-        let number = self.next_probe_id;
-        self.effects.push(SchedulerEffect::Probe { replica: address.clone(), probe_id: number });
-        number
+        let probe_id = self.next_probe_id;
+        self.effects.push(SchedulerEffect::Probe { replica: address.clone(), probe_id });
+        probe_id
     }
 
-    /// Applies an observation to a replica and puts what it changed on the time line.
+    /// Applies an observation to a replica and records the change on the timeline.
     fn update_replica(
         &mut self,
         address: &EcoString,
@@ -302,19 +308,20 @@
         self.effects.push(SchedulerEffect::RecordEvent { sub_request: None, kind });
     }
 
-    /// Frees the slot of a send and returns it.
+    /// Removes an attempt, frees its slot and returns it.
     fn release_slot(&mut self, id: AttemptId) -> Option<Attempt> {
         let attempt = self.attempts.swap_remove(&id)?;
         if let Some(replica) = self.replicas.get_mut(&attempt.replica) {
             replica.in_flight = replica.in_flight.saturating_sub(1);
         }
         if let Some(state) = self.pending.get_mut(&attempt.sub_request) {
-            state.active_attempts.retain(|live| *live != id);
+            state.active_attempts.retain(|active| *active != id);
         }
         Some(attempt)
     }
 
-    /// Cancels sends whose result nobody wants; their slots are free once that is confirmed.
+    /// Cancels attempts whose result is no longer needed; their slots stay taken until the
+    /// cancellation is confirmed.
     fn cancel_all(&mut self, ids: &[AttemptId]) {
         for id in ids {
             let Some(attempt) = self.attempts.get_mut(id) else { continue };
@@ -323,19 +330,25 @@
         }
     }
 
-    /// Answers a sub-request and cancels what still runs for it.
-    fn reply(&mut self, key: SubRequestId, outcome: SubOutcome, attempt: Option<AttemptId>) {
-        let Some(state) = self.pending.swap_remove(&key) else { return };
+    /// Replies to a sub-request and cancels its remaining attempts.
+    fn reply(
+        &mut self,
+        sub_request: SubRequestId,
+        outcome: SubOutcome,
+        attempt: Option<AttemptId>,
+    ) {
+        let Some(state) = self.pending.swap_remove(&sub_request) else { return };
         self.cancel_all(&state.active_attempts);
-        self.queue.retain(|queued| *queued != key);
-        self.effects.push(SchedulerEffect::Reply { sub_request: key, outcome, attempt });
+        self.queue.retain(|queued| *queued != sub_request);
+        self.effects.push(SchedulerEffect::Reply { sub_request, outcome, attempt });
     }
 
-    /// How to refuse a sub-request: truly not run only if no send of it may have run.
-    fn refusal_outcome(&self, key: SubRequestId, reason: Reason) -> SubOutcome {
+    /// Returns the outcome of a refused sub-request: `NotRun` if no attempt of it can have run,
+    /// otherwise `Unknown`.
+    fn refusal_outcome(&self, sub_request: SubRequestId, reason: Reason) -> SubOutcome {
         let may_have_run = self
             .pending
-            .get(&key)
+            .get(&sub_request)
             .is_none_or(|state| state.may_have_run || !state.active_attempts.is_empty());
         if may_have_run {
             return SubOutcome::Unknown { reason };
--- a/crates/sassafrasproxy-core/tests/scheduler_harness/mod.rs
+++ b/crates/sassafrasproxy-core/tests/scheduler_harness/mod.rs
@@ -1,6 +1,6 @@
-//! A lane with virtual time and replicas that the test answers for.
+//! A scheduler with virtual time, whose replicas are simulated by the test.
 
-#![allow(dead_code, clippy::unwrap_used, reason = "each test file uses its part")]
+#![allow(dead_code, clippy::unwrap_used, reason = "each test file uses a part of it")]
 
 use ecow::{EcoString, eco_format};
 use indexmap::{IndexMap, IndexSet};
@@ -13,15 +13,16 @@
 pub const MS: u64 = 1_000;
 pub const SNAPSHOT: u64 = 7;
 
-/// A lane of three replicas `a`, `b`, `c` in domains of their own, all holding shard `s0`.
+/// A scheduler of three replicas `a`, `b` and `c`, each in its own failure domain and holding shard
+/// `s0`.
 pub struct SchedulerHarness {
     pub scheduler: Scheduler,
     pub now_us: u64,
     pub configuration: SchedulerConfiguration,
-    /// Sends that have not ended, with their replica and sub-request.
+    /// Attempts that have not ended, with their replica and sub-request.
     pub open_attempts: IndexMap<AttemptId, (EcoString, SubRequestId)>,
     pub replies: IndexMap<SubRequestId, SubOutcome>,
-    /// Every send so far, as replica and sub-request.
+    /// Every attempt so far, as replica and sub-request.
     pub sends: Vec<(EcoString, SubRequestId)>,
     pub cancels: Vec<AttemptId>,
     pub probes: Vec<(EcoString, u64)>,
@@ -34,24 +35,24 @@
 }
 
 impl SchedulerHarness {
-    /// A home whose replicas have been heard and warmed up to their full limit.
+    /// Creates a home whose replicas have reported a status and warmed up to their full limit.
     pub fn warm() -> Self {
-        let mut bench = Self::cold();
-        bench.warm_up();
-        bench
+        let mut harness = Self::cold();
+        harness.warm_up();
+        harness
     }
 
-    /// A home whose replicas have been heard but have run nothing.
+    /// Creates a home whose replicas have reported a status but have run nothing.
     pub fn cold() -> Self {
-        let mut bench = Self::without_status();
-        bench.step(SchedulerEvent::BecomeHome { view_skew_us: 0 });
+        let mut harness = Self::without_status();
+        harness.step(SchedulerEvent::BecomeHome { view_skew_us: 0 });
         for replica in ["a", "b", "c"] {
-            bench.report_status(replica, UpstreamState::Serving);
+            harness.report_status(replica, UpstreamState::Serving);
         }
-        bench
+        harness
     }
 
-    /// A lane that is not home yet and has heard nothing.
+    /// Creates a scheduler that is not home yet and has no replica status.
     pub fn without_status() -> Self {
         let spec = |name: &str| ReplicaSpec {
             address: name.into(),
@@ -90,7 +91,7 @@
             if self.scheduler.replica_statuses().iter().all(|replica| replica.phase == "serving") {
                 break;
             }
-            // One for each replica, so that none waits and every latency is the same.
+            // One for each replica, so that none waits and all latencies are equal.
             for _ in 0..3 {
                 self.submit();
             }
@@ -104,36 +105,36 @@
         self.retired_connections.clear();
     }
 
-    /// Steps the lane and keeps its effects.
+    /// Passes an event to the scheduler and records the effects.
     pub fn step(&mut self, event: SchedulerEvent) {
         for effect in self.scheduler.step(self.now_us, event) {
             match effect {
-                SchedulerEffect::Send { attempt, sub_request: sub, replica } => {
-                    self.sends.push((replica.clone(), sub));
-                    self.open_attempts.insert(attempt, (replica, sub));
+                SchedulerEffect::Send { attempt, sub_request, replica } => {
+                    self.sends.push((replica.clone(), sub_request));
+                    self.open_attempts.insert(attempt, (replica, sub_request));
                 }
                 SchedulerEffect::Cancel { attempt } => self.cancels.push(attempt),
-                SchedulerEffect::Reply { sub_request: sub, outcome, .. } => {
-                    let old = self.replies.insert(sub, outcome);
-                    assert_eq!(old, None, "a sub-request is answered once");
+                SchedulerEffect::Reply { sub_request, outcome, .. } => {
+                    let old_reply = self.replies.insert(sub_request, outcome);
+                    assert_eq!(old_reply, None, "a sub-request is answered once");
                 }
                 SchedulerEffect::RetireConnections { replica } => {
                     self.retired_connections.push(replica);
                 }
-                SchedulerEffect::Probe { replica, probe_id: number } => {
-                    self.probes.push((replica, number));
+                SchedulerEffect::Probe { replica, probe_id } => {
+                    self.probes.push((replica, probe_id));
                 }
                 SchedulerEffect::AnnounceQuarantine { fingerprint, .. } => {
                     self.quarantined.push(fingerprint);
                 }
-                SchedulerEffect::SendHandOver(given) => self.hand_overs.push(given),
+                SchedulerEffect::SendHandOver(hand_over) => self.hand_overs.push(hand_over),
                 SchedulerEffect::PublishHoldings => {}
                 SchedulerEffect::RecordEvent { kind, .. } => self.events.push(kind),
             }
         }
     }
 
-    /// A search of its own that ends in 100 ms at the latest.
+    /// Returns a new search with its own fingerprint and a deadline in 100 ms.
     pub fn new_spec(&mut self) -> SubRequestSpec {
         self.next_id += 1;
         SubRequestSpec {
@@ -148,27 +149,27 @@
     }
 
     pub fn submit(&mut self) -> SubRequestId {
-        let sub = self.new_spec();
-        self.submit_spec(sub)
+        let spec = self.new_spec();
+        self.submit_spec(spec)
     }
 
-    pub fn submit_spec(&mut self, sub: SubRequestSpec) -> SubRequestId {
-        let key = sub.id;
-        self.step(SchedulerEvent::Submit(sub));
-        key
+    pub fn submit_spec(&mut self, spec: SubRequestSpec) -> SubRequestId {
+        let id = spec.id;
+        self.step(SchedulerEvent::Submit(spec));
+        id
     }
 
-    /// Submits until a sub-request goes to a replica, and returns that one.
+    /// Submits sub-requests until one is sent to `replica`, and returns that one.
     pub fn submit_to(&mut self, replica: &str) -> SubRequestId {
         loop {
-            let key = self.submit();
-            if self.replica_of(key) == replica {
-                return key;
+            let id = self.submit();
+            if self.replica_of(id) == replica {
+                return id;
             }
         }
     }
 
-    /// Lets time pass, with the lane's timers on the way.
+    /// Advances the time and fires the scheduler's timers on the way.
     pub fn advance(&mut self, us: u64) {
         let end_us = self.now_us + us;
         while let Some(at_us) =
@@ -181,17 +182,22 @@
         self.step(SchedulerEvent::Timer);
     }
 
-    /// The open send of a sub-request that started first.
-    pub fn first_open_attempt(&self, sub: SubRequestId) -> AttemptId {
-        *self.open_attempts.iter().find(|(_, (_, key))| *key == sub).expect("the send is open").0
+    /// Returns the open attempt of a sub-request that started first.
+    pub fn first_open_attempt(&self, sub_request: SubRequestId) -> AttemptId {
+        *self
+            .open_attempts
+            .iter()
+            .find(|(_, (_, id))| *id == sub_request)
+            .expect("the sub-request has an open attempt")
+            .0
     }
 
-    /// The replica of a sub-request's open send.
-    pub fn replica_of(&self, sub: SubRequestId) -> EcoString {
-        self.open_attempts[&self.first_open_attempt(sub)].0.clone()
+    /// Returns the replica of a sub-request's first open attempt.
+    pub fn replica_of(&self, sub_request: SubRequestId) -> EcoString {
+        self.open_attempts[&self.first_open_attempt(sub_request)].0.clone()
     }
 
-    /// Ends a send, with the boot id that its replica has now.
+    /// Ends an attempt; an answer carries the replica's current boot id.
     pub fn end_attempt(&mut self, attempt: AttemptId, result: AttemptResult) {
         let Some((replica, _)) = self.open_attempts.swap_remove(&attempt) else { return };
         let is_answer = !matches!(
@@ -203,8 +209,8 @@
         self.step(SchedulerEvent::Finished { attempt, report });
     }
 
-    pub fn end_first_attempt(&mut self, sub: SubRequestId, result: AttemptResult) {
-        self.end_attempt(self.first_open_attempt(sub), result);
+    pub fn end_first_attempt(&mut self, sub_request: SubRequestId, result: AttemptResult) {
+        self.end_attempt(self.first_open_attempt(sub_request), result);
     }
 
     pub fn answer_all(&mut self) {
@@ -241,19 +247,19 @@
         self.step(SchedulerEvent::Status { replica: replica.into(), probe_id: None, report });
     }
 
-    /// Answers every probe that is open: dead replicas are in `down`.
+    /// Answers every open probe; the replicas in `down` are unreachable.
     pub fn answer_probes(&mut self, down: &[&str]) {
-        for (replica, number) in std::mem::take(&mut self.probes) {
+        for (replica, probe_id) in std::mem::take(&mut self.probes) {
             let report = if down.contains(&replica.as_str()) {
                 StatusReport::Unreachable
             } else {
                 self.status_report(&replica, UpstreamState::Serving)
             };
-            self.step(SchedulerEvent::Status { replica, probe_id: Some(number), report });
+            self.step(SchedulerEvent::Status { replica, probe_id: Some(probe_id), report });
         }
     }
 
-    /// Restarts a replica: what was open there is lost, and its boot id is a new one.
+    /// Restarts a replica: its open attempts lose their connection and its boot id changes.
     pub fn restart(&mut self, replica: &str) {
         *self.boot_numbers.get_mut(replica).unwrap() += 1;
         let lost: Vec<AttemptId> = self
