--- a/crates/sassafrasproxy-core/tests/cold_start.rs
+++ b/crates/sassafrasproxy-core/tests/cold_start.rs
@@ -194,13 +194,13 @@
         let mut harness = SchedulerHarness::warm();
         report(&mut harness);
         harness.report_status("a", UpstreamState::Serving);
-        harness.sends.clear();
+        harness.attempts.clear();
         for _ in 0..8 {
             harness.submit();
         }
-        let is_used = harness.sends.iter().any(|(replica, _)| replica == "a");
+        let is_used = harness.attempts.iter().any(|(replica, _)| replica == "a");
         assert!(!is_used, "{source}: new work was sent");
-        assert_eq!(harness.sends.len(), 4, "{source}: the others get new work");
+        assert_eq!(harness.attempts.len(), 4, "{source}: the others get new work");
     }
 }
 
--- a/crates/sassafrasproxy-core/tests/concurrency_limits.rs
+++ b/crates/sassafrasproxy-core/tests/concurrency_limits.rs
@@ -1,4 +1,4 @@
-//! Slots, queue and refusals of a lane.
+//! Concurrency limits, queue, refusals and outcomes of a scheduler.
 
 mod scheduler_harness;
 
@@ -8,90 +8,91 @@
 
 #[test]
 fn limit_in_flight() {
-    let mut bench = SchedulerHarness::warm();
+    let mut harness = SchedulerHarness::warm();
     for _ in 0..10 {
-        bench.submit();
+        harness.submit();
     }
     for replica in ["a", "b", "c"] {
-        assert_eq!(bench.in_flight(replica), 2);
+        assert_eq!(harness.in_flight(replica), 2);
     }
-    assert_eq!(bench.scheduler.replica_statuses()[0].queued, 4);
+    assert_eq!(harness.scheduler.replica_statuses()[0].queued, 4);
 }
 
 #[test]
 fn full_queue() {
-    let mut bench = SchedulerHarness::cold();
-    let keys: Vec<_> = (0..12).map(|_| bench.submit()).collect();
-    // Three cold replicas take one each, eight wait, the twelfth is refused at once.
-    assert_eq!(bench.replies.keys().copied().collect::<Vec<_>>(), [keys[11]]);
+    let mut harness = SchedulerHarness::cold();
+    let ids: Vec<_> = (0..12).map(|_| harness.submit()).collect();
+    // Three cold replicas take one each, eight are queued, the twelfth is refused at once.
+    assert_eq!(harness.replies.keys().copied().collect::<Vec<_>>(), [ids[11]]);
     let refused = SubOutcome::NotRun { reason: Reason::Overloaded, retry_after_ms: 50 };
-    assert_eq!(bench.replies[&keys[11]], refused);
+    assert_eq!(harness.replies[&ids[11]], refused);
 }
 
-// Under twice the load that upstreams bear, callers would wait out their whole deadline for
-// nothing. Work that cannot end in time must be refused before it is sent.
+// At twice the load that upstreams can handle, callers would wait until their deadline and get no
+// answer. Work that cannot end before its deadline must be refused before it is sent.
 #[test]
 fn unmeetable_deadline() {
-    let mut bench = SchedulerHarness::warm();
+    let mut harness = SchedulerHarness::warm();
     for _ in 0..6 {
-        bench.submit();
+        harness.submit();
     }
-    let mut sub = bench.new_spec();
-    sub.deadline_us = bench.now_us + 2 * MS;
-    let key = bench.submit_spec(sub);
-    assert!(matches!(bench.replies[&key], SubOutcome::NotRun { reason: Reason::Overloaded, .. }));
+    let mut spec = harness.new_spec();
+    spec.deadline_us = harness.now_us + 2 * MS;
+    let id = harness.submit_spec(spec);
+    assert!(matches!(harness.replies[&id], SubOutcome::NotRun { reason: Reason::Overloaded, .. }));
 }
 
 #[test]
 fn deadline_in_queue() {
-    let mut bench = SchedulerHarness::cold();
-    let keys: Vec<_> = (0..4).map(|_| bench.submit()).collect();
-    bench.advance(100 * MS);
-    assert!(matches!(bench.replies[&keys[3]], SubOutcome::NotRun { .. }), "never sent");
-    assert!(matches!(bench.replies[&keys[0]], SubOutcome::Unknown { .. }), "was sent");
+    let mut harness = SchedulerHarness::cold();
+    let ids: Vec<_> = (0..4).map(|_| harness.submit()).collect();
+    harness.advance(100 * MS);
+    assert!(matches!(harness.replies[&ids[3]], SubOutcome::NotRun { .. }), "never sent");
+    assert!(matches!(harness.replies[&ids[0]], SubOutcome::Unknown { .. }), "was sent");
 }
 
-// An upstream with two slots would see a third request: a cancelled one goes on for a moment
-// after its caller is gone. Its slot is free only once the upstream confirms, or it ends.
+// A cancelled request keeps running for a moment, so an upstream with two slots could get a third
+// request. The slot is free only when the upstream confirms the cancellation or the request ends.
 #[test]
 fn cancelled_attempt_keeps_slot() {
-    let mut bench = SchedulerHarness::cold();
-    let first = bench.submit();
-    let replica = bench.replica_of(first);
-    bench.step(SchedulerEvent::Abandon { sub_request: first });
-    assert_eq!(bench.in_flight(&replica), 1);
-    bench.confirm_cancels();
-    assert_eq!(bench.in_flight(&replica), 0);
+    let mut harness = SchedulerHarness::cold();
+    let first = harness.submit();
+    let replica = harness.replica_of(first);
+    harness.step(SchedulerEvent::Abandon { sub_request: first });
+    assert_eq!(harness.in_flight(&replica), 1);
+    harness.confirm_cancels();
+    assert_eq!(harness.in_flight(&replica), 0);
 }
 
 #[test]
 fn shed_retried_elsewhere() {
-    let mut bench = SchedulerHarness::warm();
-    let key = bench.submit();
-    let first = bench.replica_of(key);
-    bench.end_first_attempt(key, AttemptResult::Shed { retry_after_us: 0 });
-    assert_ne!(bench.replica_of(key), first);
-    assert_eq!(bench.limit(&first), 1, "the limit is halved");
-    bench.end_first_attempt(key, AttemptResult::Answered);
-    assert_eq!(bench.replies[&key], SubOutcome::Answered);
+    let mut harness = SchedulerHarness::warm();
+    let id = harness.submit();
+    let first = harness.replica_of(id);
+    harness.end_first_attempt(id, AttemptResult::Shed { retry_after_us: 0 });
+    assert_ne!(harness.replica_of(id), first);
+    assert_eq!(harness.limit(&first), 1, "the limit is halved");
+    harness.end_first_attempt(id, AttemptResult::Answered);
+    assert_eq!(harness.replies[&id], SubOutcome::Answered);
 }
 
 #[test]
 fn shed_by_all_replicas() {
-    let mut bench = SchedulerHarness::warm();
-    let mut sub = bench.new_spec();
-    sub.may_hedge = false;
-    let key = bench.submit_spec(sub);
+    let mut harness = SchedulerHarness::warm();
+    let mut spec = harness.new_spec();
+    spec.may_hedge = false;
+    let id = harness.submit_spec(spec);
     for _ in 0..4 {
-        bench.end_first_attempt(key, AttemptResult::Shed { retry_after_us: 0 });
-        bench.advance(20 * MS);
+        harness.end_first_attempt(id, AttemptResult::Shed { retry_after_us: 0 });
+        harness.advance(20 * MS);
     }
     let refused = SubOutcome::NotRun { reason: Reason::Shed, retry_after_ms: 50 };
-    assert_eq!(bench.replies[&key], refused);
+    assert_eq!(harness.replies[&id], refused);
 }
 
-// A caller would be told that nothing ran, and would send a reminder again, though an upstream
-// failed after it had begun. Only the upstream's own word makes a failure `not_run`.
+// An upstream fails after it began to run a request. A caller that is told `not_run` resends it,
+// and for example a reminder goes out twice. Only a result that shows that the request did not run
+// may be reported as `not_run`.
 #[test]
 fn failures_have_unknown_outcome() {
     let cases = [
@@ -102,24 +103,24 @@
         (AttemptResult::Failed, Reason::UpstreamFailed),
     ];
     for (result, reason) in cases {
-        let mut bench = SchedulerHarness::warm();
-        let mut sub = bench.new_spec();
-        (sub.is_idempotent, sub.may_hedge) = (false, false);
-        let key = bench.submit_spec(sub);
-        bench.end_first_attempt(key, result);
-        assert_eq!(bench.replies.get(&key), Some(&SubOutcome::Unknown { reason }), "{result:?}");
-        assert_eq!(bench.sends.len(), 1, "{result:?}: sent once");
+        let mut harness = SchedulerHarness::warm();
+        let mut spec = harness.new_spec();
+        (spec.is_idempotent, spec.may_hedge) = (false, false);
+        let id = harness.submit_spec(spec);
+        harness.end_first_attempt(id, result);
+        assert_eq!(harness.replies.get(&id), Some(&SubOutcome::Unknown { reason }), "{result:?}");
+        assert_eq!(harness.attempts.len(), 1, "{result:?}: sent once");
     }
 }
 
 #[test]
 fn one_reply() {
-    let mut bench = SchedulerHarness::warm();
-    let key = bench.submit();
-    bench.end_first_attempt(key, AttemptResult::Failed);
-    bench.end_first_attempt(key, AttemptResult::Answered);
-    assert_eq!(bench.replies[&key], SubOutcome::Answered);
-    assert_eq!(bench.sends.len(), 2);
+    let mut harness = SchedulerHarness::warm();
+    let id = harness.submit();
+    harness.end_first_attempt(id, AttemptResult::Failed);
+    harness.end_first_attempt(id, AttemptResult::Answered);
+    assert_eq!(harness.replies[&id], SubOutcome::Answered);
+    assert_eq!(harness.attempts.len(), 2);
 }
 
 #[test]
--- a/crates/sassafrasproxy-core/tests/faulty_replicas.rs
+++ b/crates/sassafrasproxy-core/tests/faulty_replicas.rs
@@ -13,7 +13,7 @@
     count: usize,
     is_good: impl Fn(&str, u64) -> bool,
 ) -> (usize, usize) {
-    let sends_before = harness.sends.len();
+    let attempts_before = harness.attempts.len();
     let mut answered = 0;
     for _ in 0..count {
         let mut spec = harness.new_spec();
@@ -28,8 +28,8 @@
         answered += usize::from(harness.replies[&id] == SubOutcome::Answered);
         harness.advance(5 * MS);
     }
-    let sends = &harness.sends[sends_before..];
-    (answered, sends.iter().filter(|(replica, _)| replica == "a").count())
+    let attempts = &harness.attempts[attempts_before..];
+    (answered, attempts.iter().filter(|(replica, _)| replica == "a").count())
 }
 
 // One replica answers every request with another request's id; the others give good answers. The
@@ -38,9 +38,9 @@
 #[test]
 fn all_answers_mismatched() {
     let mut harness = SchedulerHarness::warm();
-    let (answered, sends) = run_searches(&mut harness, 1_000, |replica, _| replica != "a");
+    let (answered, attempts) = run_searches(&mut harness, 1_000, |replica, _| replica != "a");
     assert_eq!(answered, 1_000);
-    assert!(sends <= 20, "the backoff limits its attempts: {sends} in 10 s");
+    assert!(attempts <= 20, "the backoff limits its attempts: {attempts} in 10 s");
 }
 
 // The replica gives good answers again. It must soon get its share of the load, or the others carry
@@ -51,9 +51,9 @@
     let recovered_us = harness.now_us + 5_000 * MS;
     let is_good = |replica: &str, now_us: u64| replica != "a" || now_us >= recovered_us;
     run_searches(&mut harness, 500, is_good);
-    let (answered, sends) = run_searches(&mut harness, 500, is_good);
+    let (answered, attempts) = run_searches(&mut harness, 500, is_good);
     assert_eq!(answered, 500);
-    assert!(sends > 50, "{sends} of 500");
+    assert!(attempts > 50, "{attempts} of 500");
 }
 
 // All replicas fail, for example because the request itself causes the failure, and all are backed
--- a/crates/sassafrasproxy-core/tests/poison_requests.rs
+++ b/crates/sassafrasproxy-core/tests/poison_requests.rs
@@ -1,4 +1,4 @@
-//! Requests that crash each upstream that runs them.
+//! Poison requests, which crash each upstream that runs them.
 
 mod scheduler_harness;
 
@@ -8,97 +8,97 @@
 
 const POISON: u64 = 666;
 
-fn submit_poison(bench: &mut SchedulerHarness) -> SubRequestId {
-    let mut sub = bench.new_spec();
-    sub.fingerprint = POISON;
-    bench.submit_spec(sub)
+fn submit_poison(harness: &mut SchedulerHarness) -> SubRequestId {
+    let mut spec = harness.new_spec();
+    spec.fingerprint = POISON;
+    harness.submit_spec(spec)
 }
 
-/// Lets every open poison kill its replica, which starts again at once; returns the dead.
-fn crash_open(bench: &mut SchedulerHarness, poisons: &[SubRequestId]) -> usize {
-    let mut dead = 0;
+/// Crashes and restarts the replica of each open poison request; returns the number of crashes.
+fn crash_poisoned_replicas(harness: &mut SchedulerHarness, poison_ids: &[SubRequestId]) -> usize {
+    let mut crashes = 0;
     loop {
-        let open = bench.open_attempts.values().find(|(_, key)| poisons.contains(key)).cloned();
-        let Some((replica, _)) = open else { return dead };
-        bench.restart(&replica);
-        bench.answer_probes(&[]);
-        dead += 1;
+        let open = harness.open_attempts.values().find(|(_, id)| poison_ids.contains(id)).cloned();
+        let Some((replica, _)) = open else { return crashes };
+        harness.restart(&replica);
+        harness.answer_probes(&[]);
+        crashes += 1;
     }
 }
 
-// One request crashes each upstream that runs it, and its caller sends it again at once, many
-// times. Users of the same shards would lose replica after replica. At most two may die.
+// One request crashes each upstream that runs it, and its caller keeps resending it immediately.
+// Without a quarantine, one replica of the shard after another crashes; at most two may.
 #[test]
 fn at_most_two_crashes() {
-    let mut bench = SchedulerHarness::warm();
-    let mut poisons = Vec::new();
-    let mut dead = 0;
+    let mut harness = SchedulerHarness::warm();
+    let mut poison_ids = Vec::new();
+    let mut crashes = 0;
     for _ in 0..20 {
-        poisons.push(submit_poison(&mut bench));
-        dead += crash_open(&mut bench, &poisons);
-        bench.advance(MS);
+        poison_ids.push(submit_poison(&mut harness));
+        crashes += crash_poisoned_replicas(&mut harness, &poison_ids);
+        harness.advance(MS);
     }
-    assert_eq!(dead, 2);
-    assert_eq!(bench.quarantined, [POISON]);
+    assert_eq!(crashes, 2);
+    assert_eq!(harness.quarantined, [POISON]);
     let refused = SubOutcome::NotRun { reason: Reason::Quarantined, retry_after_ms: 60_000 };
-    assert_eq!(bench.replies[poisons.last().unwrap()], refused);
+    assert_eq!(harness.replies[poison_ids.last().unwrap()], refused);
 }
 
 #[test]
 fn at_most_two_concurrent_crashes() {
-    let mut bench = SchedulerHarness::warm();
-    let poisons: Vec<SubRequestId> = (0..6).map(|_| submit_poison(&mut bench)).collect();
-    assert_eq!(crash_open(&mut bench, &poisons), 2);
+    let mut harness = SchedulerHarness::warm();
+    let poison_ids: Vec<SubRequestId> = (0..6).map(|_| submit_poison(&mut harness)).collect();
+    assert_eq!(crash_poisoned_replicas(&mut harness, &poison_ids), 2);
 }
 
-// A neighbour's request shared the replica that died. Its user must get the answer, and the
-// request must not be refused for what another did.
+// A harmless request runs on the same replica as a poison request when the replica crashes. The
+// harmless request must be answered and must not be quarantined for the other's crash.
 #[test]
 fn harmless_request_on_crashed_replica() {
-    let mut bench = SchedulerHarness::warm();
-    let poison = submit_poison(&mut bench);
-    let replica = bench.replica_of(poison);
-    let neighbour = bench.submit_to(&replica);
-    bench.restart(&replica);
-    bench.answer_probes(&[]);
-    let mut poisons = vec![poison];
+    let mut harness = SchedulerHarness::warm();
+    let poison_id = submit_poison(&mut harness);
+    let replica = harness.replica_of(poison_id);
+    let harmless = harness.submit_to(&replica);
+    harness.restart(&replica);
+    harness.answer_probes(&[]);
+    let mut poison_ids = vec![poison_id];
     for _ in 0..4 {
-        if bench.open_attempts.values().any(|(_, key)| *key == neighbour) {
-            bench.end_first_attempt(neighbour, AttemptResult::Answered);
+        if harness.open_attempts.values().any(|(_, id)| *id == harmless) {
+            harness.end_first_attempt(harmless, AttemptResult::Answered);
         }
-        crash_open(&mut bench, &poisons);
-        poisons.push(submit_poison(&mut bench));
+        crash_poisoned_replicas(&mut harness, &poison_ids);
+        poison_ids.push(submit_poison(&mut harness));
     }
-    assert_eq!(bench.replies[&neighbour], SubOutcome::Answered);
-    assert_eq!(bench.quarantined, [POISON]);
+    assert_eq!(harness.replies[&harmless], SubOutcome::Answered);
+    assert_eq!(harness.quarantined, [POISON]);
 }
 
-// A switch drops a connection while a good request runs. The upstream lives, so this is no
-// crash: the request must not come under suspicion, however often it happens.
+// The network drops a connection while a harmless request runs. The upstream has not crashed, so
+// the request must not become a crash suspect, however often this happens.
 #[test]
 fn lost_connection_is_no_crash() {
-    let mut bench = SchedulerHarness::warm();
+    let mut harness = SchedulerHarness::warm();
     for _ in 0..5 {
-        let key = submit_poison(&mut bench);
-        bench.end_first_attempt(key, AttemptResult::ConnectionLost);
-        bench.answer_probes(&[]);
-        bench.end_first_attempt(key, AttemptResult::Answered);
-        assert_eq!(bench.replies[&key], SubOutcome::Answered);
+        let id = submit_poison(&mut harness);
+        harness.end_first_attempt(id, AttemptResult::ConnectionLost);
+        harness.answer_probes(&[]);
+        harness.end_first_attempt(id, AttemptResult::Answered);
+        assert_eq!(harness.replies[&id], SubOutcome::Answered);
     }
-    assert!(bench.quarantined.is_empty());
+    assert!(harness.quarantined.is_empty());
 }
 
 #[test]
 fn received_quarantine() {
-    let mut bench = SchedulerHarness::warm();
-    bench.step(SchedulerEvent::Quarantine { fingerprint: POISON, ttl_us: 1_000 * MS });
-    let refused = submit_poison(&mut bench);
+    let mut harness = SchedulerHarness::warm();
+    harness.step(SchedulerEvent::Quarantine { fingerprint: POISON, ttl_us: 1_000 * MS });
+    let refused = submit_poison(&mut harness);
     assert!(matches!(
-        bench.replies[&refused],
+        harness.replies[&refused],
         SubOutcome::NotRun { reason: Reason::Quarantined, .. }
     ));
-    bench.advance(1_001 * MS);
-    let taken = submit_poison(&mut bench);
-    bench.end_first_attempt(taken, AttemptResult::Answered);
-    assert_eq!(bench.replies[&taken], SubOutcome::Answered);
+    harness.advance(1_001 * MS);
+    let accepted = submit_poison(&mut harness);
+    harness.end_first_attempt(accepted, AttemptResult::Answered);
+    assert_eq!(harness.replies[&accepted], SubOutcome::Answered);
 }
--- a/crates/sassafrasproxy-core/tests/scheduler_harness/mod.rs
+++ b/crates/sassafrasproxy-core/tests/scheduler_harness/mod.rs
@@ -23,7 +23,7 @@
     pub open_attempts: IndexMap<AttemptId, (EcoString, SubRequestId)>,
     pub replies: IndexMap<SubRequestId, SubOutcome>,
     /// Every attempt so far, as replica and sub-request.
-    pub sends: Vec<(EcoString, SubRequestId)>,
+    pub attempts: Vec<(EcoString, SubRequestId)>,
     pub cancels: Vec<AttemptId>,
     pub probes: Vec<(EcoString, u64)>,
     pub retired_connections: Vec<EcoString>,
@@ -73,7 +73,7 @@
             configuration,
             open_attempts: IndexMap::new(),
             replies: IndexMap::new(),
-            sends: Vec::new(),
+            attempts: Vec::new(),
             cancels: Vec::new(),
             probes: Vec::new(),
             retired_connections: Vec::new(),
@@ -99,7 +99,7 @@
             self.answer_all();
         }
         assert!(self.scheduler.replica_statuses().iter().all(|replica| replica.limit == 2));
-        self.sends.clear();
+        self.attempts.clear();
         self.events.clear();
         self.replies.clear();
         self.retired_connections.clear();
@@ -110,7 +110,7 @@
         for effect in self.scheduler.step(self.now_us, event) {
             match effect {
                 SchedulerEffect::Send { attempt, sub_request, replica } => {
-                    self.sends.push((replica.clone(), sub_request));
+                    self.attempts.push((replica.clone(), sub_request));
                     self.open_attempts.insert(attempt, (replica, sub_request));
                 }
                 SchedulerEffect::Cancel { attempt } => self.cancels.push(attempt),
--- a/crates/sassafrasproxy-core/tests/stalled_connections.rs
+++ b/crates/sassafrasproxy-core/tests/stalled_connections.rs
@@ -1,4 +1,4 @@
-//! Connections that carry nothing any more.
+//! Stalled connections, on which no answers arrive any more.
 
 mod scheduler_harness;
 
@@ -6,88 +6,92 @@
 use sassafrasproxy_wire::SubOutcome;
 use scheduler_harness::{MS, SchedulerHarness};
 
-// Something between node and upstream has lost track of every open connection: requests go out,
-// nothing comes back, new connections work. Users would get answers without that shard until
-// somebody restarts the node. The lane must notice from the silence alone and send again.
+// A device between node and upstream has lost the state of every open connection: requests go out,
+// no answers arrive, and new connections work. Answers lack the shard until an operator restarts
+// the node. The scheduler must detect this from the missing answers alone and resend.
 #[test]
 fn all_connections_stalled() {
-    let mut bench = SchedulerHarness::warm();
-    let key = bench.submit();
-    bench.advance(60 * MS);
-    assert_eq!(bench.sends.len(), 3, "the send, its hedge, and one more when both are silent");
-    assert_eq!(bench.retired_connections.len(), 3, "all, within 60 ms at a norm of 5 ms");
-    let newest = *bench.open_attempts.keys().last().unwrap();
-    bench.end_attempt(newest, AttemptResult::Answered);
-    assert_eq!(bench.replies[&key], SubOutcome::Answered);
+    let mut harness = SchedulerHarness::warm();
+    let sub_request = harness.submit();
+    harness.advance(60 * MS);
+    assert_eq!(harness.attempts.len(), 3, "the attempt, its hedge, and a resend after both stall");
+    assert_eq!(
+        harness.retired_connections.len(),
+        3,
+        "all three, within 60 ms at a typical latency of 5 ms"
+    );
+    let newest = *harness.open_attempts.keys().last().unwrap();
+    harness.end_attempt(newest, AttemptResult::Answered);
+    assert_eq!(harness.replies[&sub_request], SubOutcome::Answered);
 }
 
-// One straggler on a replica that answers others is slow, not silent: giving its connections up
-// would cost every other request there a new one.
+// One slow attempt at a replica that answers others is not stalled: retiring the replica's
+// connections makes every other request there need a new connection.
 #[test]
 fn slow_replica_keeps_connections() {
-    let mut bench = SchedulerHarness::warm();
-    let mut sub = bench.new_spec();
-    sub.may_hedge = false;
-    let slow = bench.submit_spec(sub);
-    let replica = bench.replica_of(slow);
+    let mut harness = SchedulerHarness::warm();
+    let mut spec = harness.new_spec();
+    spec.may_hedge = false;
+    let slow = harness.submit_spec(spec);
+    let replica = harness.replica_of(slow);
     for _ in 0..9 {
-        bench.advance(5 * MS);
-        let quick = bench.submit_to(&replica);
-        bench.end_first_attempt(quick, AttemptResult::Answered);
-        let others: Vec<_> = bench
+        harness.advance(5 * MS);
+        let quick = harness.submit_to(&replica);
+        harness.end_first_attempt(quick, AttemptResult::Answered);
+        let others: Vec<_> = harness
             .open_attempts
             .iter()
-            .filter(|(_, (_, key))| *key != slow)
+            .filter(|(_, (_, id))| *id != slow)
             .map(|(id, _)| *id)
             .collect();
-        others.into_iter().for_each(|id| bench.end_attempt(id, AttemptResult::Answered));
-        bench.confirm_cancels();
+        others.into_iter().for_each(|id| harness.end_attempt(id, AttemptResult::Answered));
+        harness.confirm_cancels();
     }
-    assert!(bench.retired_connections.is_empty());
+    assert!(harness.retired_connections.is_empty());
 }
 
-// Only the connection of one search is lost; the replica answers others over new ones all the
-// time. Its user must not wait for the deadline just because the replica is well.
+// Only the connection of one search is lost; the replica keeps answering others over new ones. The
+// search must be resent before its deadline although the replica answers.
 #[test]
 fn one_lost_connection() {
-    let mut bench = SchedulerHarness::warm();
-    let mut sub = bench.new_spec();
-    sub.may_hedge = false;
-    let lost = bench.submit_spec(sub);
-    let replica = bench.replica_of(lost);
+    let mut harness = SchedulerHarness::warm();
+    let mut spec = harness.new_spec();
+    spec.may_hedge = false;
+    let lost = harness.submit_spec(spec);
+    let replica = harness.replica_of(lost);
     for _ in 0..12 {
-        bench.advance(5 * MS);
-        let quick = bench.submit_to(&replica);
-        bench.end_first_attempt(quick, AttemptResult::Answered);
-        if bench.open_attempts.values().filter(|(_, key)| *key == lost).count() > 1 {
+        harness.advance(5 * MS);
+        let quick = harness.submit_to(&replica);
+        harness.end_first_attempt(quick, AttemptResult::Answered);
+        if harness.open_attempts.values().filter(|(_, id)| *id == lost).count() > 1 {
             break;
         }
-        let others: Vec<_> = bench
+        let others: Vec<_> = harness
             .open_attempts
             .iter()
-            .filter(|(_, (_, key))| *key != lost)
+            .filter(|(_, (_, id))| *id != lost)
             .map(|(id, _)| *id)
             .collect();
-        others.into_iter().for_each(|id| bench.end_attempt(id, AttemptResult::Answered));
+        others.into_iter().for_each(|id| harness.end_attempt(id, AttemptResult::Answered));
     }
-    let sends = bench.sends.iter().filter(|(_, key)| *key == lost).count();
-    assert_eq!(sends, 2, "sent again within 60 ms");
-    let again = *bench.open_attempts.iter().rfind(|(_, (_, key))| *key == lost).unwrap().0;
-    bench.end_attempt(again, AttemptResult::Answered);
-    assert_eq!(bench.replies.get(&lost), Some(&SubOutcome::Answered));
-    assert!(bench.retired_connections.is_empty(), "the replica's other connections stay");
+    let attempts = harness.attempts.iter().filter(|(_, id)| *id == lost).count();
+    assert_eq!(attempts, 2, "resent within 60 ms");
+    let resent = *harness.open_attempts.iter().rfind(|(_, (_, id))| *id == lost).unwrap().0;
+    harness.end_attempt(resent, AttemptResult::Answered);
+    assert_eq!(harness.replies.get(&lost), Some(&SubOutcome::Answered));
+    assert!(harness.retired_connections.is_empty(), "the replica's other connections are kept");
 }
 
-// A reorder sits on a silent connection. Sending it again could print the order twice; its
-// outcome stays unknown until its deadline.
+// A reorder, which is not idempotent, is on a stalled connection. Resending it could print the
+// order twice, so it must not be resent; at its deadline its outcome is unknown.
 #[test]
 fn non_idempotent_not_resent() {
-    let mut bench = SchedulerHarness::warm();
-    let mut sub = bench.new_spec();
-    (sub.is_idempotent, sub.may_hedge) = (false, false);
-    let key = bench.submit_spec(sub);
-    bench.advance(99 * MS);
-    assert_eq!(bench.sends.len(), 1);
-    bench.advance(2 * MS);
-    assert!(matches!(bench.replies[&key], SubOutcome::Unknown { .. }));
+    let mut harness = SchedulerHarness::warm();
+    let mut spec = harness.new_spec();
+    (spec.is_idempotent, spec.may_hedge) = (false, false);
+    let sub_request = harness.submit_spec(spec);
+    harness.advance(99 * MS);
+    assert_eq!(harness.attempts.len(), 1);
+    harness.advance(2 * MS);
+    assert!(matches!(harness.replies[&sub_request], SubOutcome::Unknown { .. }));
 }
