--- a/crates/sassafrasproxy-core/src/scheduler/message.rs
+++ b/crates/sassafrasproxy-core/src/scheduler/message.rs
@@ -24,7 +24,7 @@
     pub service: EcoString,
     /// The group's replicas.
     pub replicas: Vec<ReplicaSpec>,
-    /// The limits and times.
+    /// The limits, times and thresholds.
     pub policy: SchedulerPolicy,
     /// The failure domains that are out of service and get no new work.
     pub domains_out: IndexSet<EcoString>,
@@ -43,7 +43,7 @@
     pub shards: IndexSet<EcoString>,
 }
 
-/// The limits and times of a scheduler.
+/// The limits, times and thresholds of a scheduler.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct SchedulerPolicy {
     /// The maximum number of sub-requests in flight at one replica; at least 1.
--- a/crates/sassafrasproxy-core/src/scheduler/mod.rs
+++ b/crates/sassafrasproxy-core/src/scheduler/mod.rs
@@ -238,10 +238,11 @@
 
     /// Applies a changed configuration and keeps the state of replicas that stay.
     fn reconfigure(&mut self, now_us: u64, configuration: SchedulerConfiguration) {
-        let mut old = std::mem::take(&mut self.replicas);
+        let mut old_replicas = std::mem::take(&mut self.replicas);
         for spec in &configuration.replicas {
-            let mut replica =
-                old.swap_remove(&spec.address).unwrap_or_else(|| Replica::new(spec.clone()));
+            let mut replica = old_replicas
+                .swap_remove(&spec.address)
+                .unwrap_or_else(|| Replica::new(spec.clone()));
             replica.spec = spec.clone();
             replica.limit = replica.limit.min(configuration.policy.slots);
             self.replicas.insert(spec.address.clone(), replica);
--- a/crates/sassafrasproxy-core/src/scheduler/replica.rs
+++ b/crates/sassafrasproxy-core/src/scheduler/replica.rs
@@ -58,7 +58,9 @@
     held_snapshots: Vec<HeldSnapshot>,
     not_held: Vec<NotHeldShard>,
     paused_until_us: u64,
+    /// The time before which another shed request does not lower the limit again.
     next_limit_cut_us: u64,
+    /// The slots that attempts of the old home use until `reserved_until_us` at the latest.
     reserved_slots: u32,
     reserved_until_us: u64,
     typical_latency_us: Option<f64>,
@@ -187,13 +189,14 @@
 
     /// Whether it holds a shard of a snapshot, by its last status and its refusals.
     pub fn holds(&self, snapshot: SnapshotId, shard: &str, now_us: u64) -> bool {
-        let held = self
+        let is_held = self
             .held_snapshots
             .iter()
             .any(|held| held.id == snapshot && held.shards.iter().any(|name| name == shard));
-        held && !self.not_held.iter().any(|entry| {
-            entry.snapshot == snapshot && entry.shard == shard && entry.until_us > now_us
-        })
+        is_held
+            && !self.not_held.iter().any(|entry| {
+                entry.snapshot == snapshot && entry.shard == shard && entry.until_us > now_us
+            })
     }
 
     /// Returns the snapshots that its last status listed.
@@ -333,7 +336,8 @@
     /// Records its status, which may be stale or wrong.
     ///
     /// A status can stop new work or lower the limit at once, but it never raises the limit: a
-    /// replica that was down or leaving restarts at a limit of 1, which only answers raise.
+    /// replica that returns after it was down or leaving starts at a limit of 1, which only answers
+    /// raise.
     pub fn record_status(
         &mut self,
         status: &UpstreamStatus,
--- a/crates/sassafrasproxy-core/tests/scheduler_harness/mod.rs
+++ b/crates/sassafrasproxy-core/tests/scheduler_harness/mod.rs
@@ -10,6 +10,7 @@
 };
 use sassafrasproxy_wire::{EventKind, HeldSnapshot, SubOutcome, UpstreamState, UpstreamStatus};
 
+/// One millisecond, in microseconds.
 pub const MS: u64 = 1_000;
 pub const SNAPSHOT: u64 = 7;
 
