--- a/crates/sassafrasproxy-core/tests/combined_faults.rs
+++ b/crates/sassafrasproxy-core/tests/combined_faults.rs
@@ -151,10 +151,10 @@
                 harness.step(SchedulerEvent::Reconfigure(harness.configuration.clone()));
             }
             Action::LoseHome => {
-                harness.step(SchedulerEvent::LoseHome { local_node: "vm-1".into() })
+                harness.step(SchedulerEvent::LoseHome { local_node: "vm-1".into() });
             }
             Action::BecomeHome => {
-                harness.step(SchedulerEvent::BecomeHome { view_skew_us: 50 * MS })
+                harness.step(SchedulerEvent::BecomeHome { view_skew_us: 50 * MS });
             }
             Action::Advance { ms } => harness.advance(ms * MS),
         }
