--- a/crates/sassafrasproxy-core/src/claims/log.rs
+++ b/crates/sassafrasproxy-core/src/claims/log.rs
@@ -1,4 +1,4 @@
-//! The log of one bucket and epoch.
+//! The log of claims and endings for one bucket and epoch.
 
 use ecow::{EcoString, eco_format};
 use indexmap::IndexMap;
@@ -8,18 +8,21 @@
 
 use super::StoreCall;
 
-/// The log of one epoch.
+/// The log of one bucket and epoch, as replayed from its segments in the store.
 #[derive(Debug, Default)]
 pub struct ClaimLog {
     prefix: EcoString,
-    /// The number of the next segment.
+    /// The number of the next segment to read or write.
     next_segment: u64,
+    /// The holder of each claimed key.
     pub holders: IndexMap<EcoString, KeyHolder>,
+    /// Whether the segments in the store have been read.
     pub is_loaded: bool,
+    /// Whether a segment has sealed the log; later claims have no effect.
     pub is_sealed: bool,
 }
 
-/// Who holds a key.
+/// The claim that holds a key, and its ending once recorded.
 #[derive(Debug, Clone)]
 pub struct KeyHolder {
     pub token: EcoString,
@@ -36,13 +39,15 @@
         StoreCall::List { prefix: self.prefix.clone() }
     }
 
-    /// The key of the next segment; padded, so that keys sort as numbers do.
+    /// Returns the key of the next segment, padded with zeros so that keys sort numerically.
     pub fn next_key(&self) -> EcoString {
         eco_format!("{}{:08}", self.prefix, self.next_segment)
     }
 
-    /// Applies the next segment: the first claim of a key holds it until it is known not to have
-    /// run; a claim after the seal holds nothing.
+    /// Applies the next segment.
+    ///
+    /// The first claim of a key holds it until the ending `NotRun` is recorded for that claim. A
+    /// claim after the seal has no effect.
     pub fn apply_segment(&mut self, text: &str) {
         self.next_segment += 1;
         let Some(segment) = parse_segment(text) else { return };
@@ -77,7 +82,7 @@
 }
 
 impl KeyHolder {
-    /// What a claim with this token is told.
+    /// Returns the answer to a claim with this token.
     pub fn answer_claim(&self, token: &str) -> ClaimAnswer {
         if self.token == token && self.ending.is_none() {
             return ClaimAnswer::Granted;
@@ -86,7 +91,7 @@
     }
 }
 
-/// The prefix of one epoch's log of a bucket.
+/// Returns the store key prefix of a bucket's log for one epoch.
 pub fn log_prefix(bucket: u32, epoch: u64) -> EcoString {
     eco_format!("claims/{epoch}/{bucket:02}/")
 }
--- a/crates/sassafrasproxy-core/src/claims/message.rs
+++ b/crates/sassafrasproxy-core/src/claims/message.rs
@@ -1,20 +1,20 @@
-//! Events that a bucket takes in and effects that it asks for.
+//! Events that a claim bucket handles and effects that it requests.
 
 use ecow::EcoString;
 use sassafrasproxy_wire::{ClaimAnswer, ClaimRequest, RecordRequest};
 
-/// Times of a bucket.
+/// The timing parameters of a claim bucket.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ClaimPolicy {
-    /// How long an epoch lasts; a key is kept for one to two of them.
+    /// The length of an epoch; a claimed key is kept for one to two epochs.
     pub epoch_ms: u64,
-    /// The least time between two writes of a bucket, on average.
+    /// The minimum average time between two writes of a bucket.
     pub write_interval_us: u64,
-    /// How many writes a bucket that was idle may make at once.
+    /// The number of writes that an idle bucket may make in one burst.
     pub write_burst: u64,
-    /// How long an ending waits for a claim to be written with.
+    /// The maximum time that an ending waits to share a write with a claim.
     pub ending_delay_us: u64,
-    /// How long the bucket leaves the store alone after calls that failed.
+    /// How long the bucket makes no store calls after failed ones.
     pub retry_delay_us: u64,
 }
 
@@ -30,29 +30,30 @@
     }
 }
 
-/// A claim that waits for its answer, numbered by the shell.
+/// Identifies a claim that waits for its answer; the caller of the reducer assigns it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub struct ClaimId(pub u64);
 
-/// What a bucket takes in.
+/// An event that a claim bucket handles.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum ClaimEvent {
-    /// An entry wants a key.
+    /// An ingress node claims a key.
     Claim {
-        /// The claim's number.
+        /// The id to answer the claim under.
         claim_id: ClaimId,
-        /// The claim.
+        /// The claim to record.
         request: ClaimRequest,
     },
-    /// An entry says what became of a request.
+    /// An ingress node reports how a request ended.
     RecordEnding(RecordRequest),
-    /// The call that ran has ended.
+    /// The call in flight has finished.
     CallFinished(StoreResult),
-    /// The time asked for has come.
+    /// The time that [`ClaimBucket::next_timer_us`](crate::ClaimBucket::next_timer_us) returned
+    /// has passed.
     Timer,
 }
 
-/// A call of the store.
+/// A call to the store.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum StoreCall {
     /// Read all keys with a prefix.
@@ -65,7 +66,7 @@
         /// The key.
         key: EcoString,
     },
-    /// Write a key that must not exist.
+    /// Write a key, only if it does not exist yet.
     Write {
         /// The key.
         key: EcoString,
@@ -74,10 +75,10 @@
     },
 }
 
-/// What came of a call of the store.
+/// The result of a call to the store.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum StoreResult {
-    /// The values of a list, by key.
+    /// The listed values, in the order of their keys.
     Listed(Vec<EcoString>),
     /// The value of a key.
     Found(EcoString),
@@ -91,19 +92,19 @@
     Failed,
 }
 
-/// What a bucket asks its shell to do.
+/// An effect that a claim bucket requests.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum ClaimEffect {
-    /// Make a call, and report its result; one runs at a time.
+    /// Make a store call and report its result; only one call is in flight at a time.
     Call(StoreCall),
     /// Answer a claim.
     Answer {
-        /// The claim.
+        /// The id of the claim.
         claim_id: ClaimId,
         /// The answer.
         answer: ClaimAnswer,
     },
-    /// Remove all keys with a prefix; best effort.
+    /// Remove all keys with a prefix. A failure is ignored.
     Purge {
         /// The prefix.
         prefix: EcoString,
--- a/crates/sassafrasproxy-core/src/claims/mod.rs
+++ b/crates/sassafrasproxy-core/src/claims/mod.rs
@@ -1,14 +1,14 @@
 //! Claims on request keys, so that a non-idempotent request runs at most once.
 //!
-//! Each bucket of keys has a log in the platform's store for each epoch. A segment of the log is
-//! written with "must not exist", so that whoever writes has read all segments before, and all
-//! nodes see the same records in the same order: the first claim of a key holds it. That is right
-//! whatever nodes believe of each other; one home for each bucket only makes it cheap, since
-//! claims that wait while a write runs go together in the next.
+//! Each bucket of keys has one log per epoch in the platform's store. A segment of the log is
+//! written under the condition that its key does not exist yet. A writer has therefore read all
+//! earlier segments, and all nodes see the same records in the same order. The first claim of a key
+//! holds it. This is correct even if nodes disagree on the membership. One home per bucket only
+//! reduces the number of writes, because claims that arrive during a write share the next one.
 //!
-//! An epoch's first segment is written only after the last epoch's log was sealed by a record of
-//! its own. Guards against nodes whose wall clocks differ at the turn of an epoch: a late writer
-//! finds the seal, so that no key can be claimed once in each.
+//! The first segment of an epoch is written only after a record has sealed the log of the previous
+//! epoch. This guards against nodes whose wall clocks differ when the epoch changes: a late writer
+//! finds the seal, so a key can't be claimed once in each epoch.
 
 mod log;
 mod message;
@@ -23,45 +23,49 @@
 use self::log::{ClaimLog, KeyHolder, log_prefix, parse_segment, segment_to_json};
 use crate::hash_name;
 
-/// How many buckets there are; with the pace of each this bounds the writes of the whole fleet.
+/// The number of buckets. Together with the write interval of a bucket it limits the rate of
+/// store writes of all nodes.
 const BUCKET_COUNT: u32 = 16;
 
-/// How often a turned epoch is tried before what waits is refused.
+/// The number of consecutive failed writes of a seal after which the pending claims are refused.
+///
+/// After a failed write of a batch, the bucket first reads the segment's key, and refuses the
+/// pending claims if that read fails too.
 const MAX_WRITE_FAILURES: u32 = 3;
 
-/// The most that a batch holds, in bytes; far below the store's largest value.
+/// The maximum estimated size of a batch; far below the store's limit for a value.
 const MAX_BATCH_BYTES: usize = 256_000;
 
-/// What a record takes besides its key and text, in bytes.
+/// The estimated size of a record without its key and text.
 const RECORD_OVERHEAD_BYTES: usize = 160;
 
-/// The bucket of a request key.
+/// Returns the bucket of a request key.
 pub fn claim_bucket_of(key: &str) -> u32 {
     (hash_name(key) % u64::from(BUCKET_COUNT)) as u32
 }
 
-/// One bucket at its home, or at a node that could not reach the home.
+/// The state of one bucket, at its home or at a node that could not reach the home.
 #[derive(Debug)]
 pub struct ClaimBucket {
     bucket: u32,
-    /// Unique for each life of a bucket, to make batch names from.
+    /// The unique id of this bucket instance, used to build unique batch names.
     instance_id: EcoString,
     policy: ClaimPolicy,
     epoch: u64,
-    /// The last epoch's log; sealed before `current` is written.
+    /// The log of the previous epoch; it is sealed before `current_log` is written.
     previous_log: ClaimLog,
     current_log: ClaimLog,
-    /// Records to write, with the ticket of each claim that is still awaited.
+    /// Records to write, with the claim id of each claim that awaits an answer.
     pending: Vec<PendingRecord>,
-    /// The batch whose write runs or is not settled yet.
+    /// The batch whose write is in flight or has an unknown result.
     batch: Option<ClaimBatch>,
-    /// The call that runs.
+    /// The store call in flight.
     call_in_flight: Option<StoreCall>,
     next_batch_number: u64,
     next_write_us: u64,
-    /// When the first ending that waits came.
+    /// When the oldest ending since the last write was queued.
     oldest_ending_us: Option<u64>,
-    /// The store is left alone until then.
+    /// The time before which no store call is made.
     retry_at_us: u64,
     consecutive_failures: u32,
     effects: Vec<ClaimEffect>,
@@ -77,11 +81,11 @@
 struct ClaimBatch {
     segment: ClaimSegment,
     claim_ids: Vec<Option<ClaimId>>,
-    /// Whether its write may have taken effect and must be looked for.
+    /// Whether its write failed but may have taken effect, so that the key must be read.
     is_unconfirmed: bool,
 }
 
-/// What a bucket does next.
+/// The next action of a bucket.
 enum NextAction {
     Call(StoreCall),
     WriteBatch,
@@ -89,7 +93,7 @@
 }
 
 impl ClaimBucket {
-    /// A bucket that has read nothing yet; `life` must be unique.
+    /// Creates a bucket that has read nothing yet; `instance_id` must be unique.
     pub fn new(bucket: u32, instance_id: EcoString, policy: ClaimPolicy, wall_ms: u64) -> Self {
         let epoch = wall_ms / policy.epoch_ms;
         Self {
@@ -111,10 +115,10 @@
         }
     }
 
-    /// Takes one event in and returns what to do, in order.
+    /// Handles one event and returns the effects to apply, in order.
     pub fn step(&mut self, now_us: u64, wall_ms: u64, event: ClaimEvent) -> Vec<ClaimEffect> {
         match event {
-            ClaimEvent::Claim { claim_id: ticket, request } => self.claim(now_us, ticket, request),
+            ClaimEvent::Claim { claim_id, request } => self.claim(now_us, claim_id, request),
             ClaimEvent::RecordEnding(request) => {
                 self.oldest_ending_us.get_or_insert(now_us);
                 self.queue_ending(request);
@@ -127,66 +131,70 @@
         std::mem::take(&mut self.effects)
     }
 
-    /// When the bucket wants its next [`ClaimEvent::Timer`].
+    /// Returns when the bucket needs its next [`ClaimEvent::Timer`], if at all.
     pub fn next_timer_us(&self) -> Option<u64> {
         let has_work = !self.pending.is_empty() || self.batch.is_some();
         (has_work && self.call_in_flight.is_none())
             .then(|| self.retry_at_us.max(self.write_due_us()))
     }
 
-    /// Answers a claim from what is known, or lets it wait for the next write.
-    fn claim(&mut self, now_us: u64, ticket: ClaimId, request: ClaimRequest) {
+    /// Answers a claim if its key is held or the store is unavailable, else queues it for the
+    /// next write.
+    fn claim(&mut self, now_us: u64, claim_id: ClaimId, request: ClaimRequest) {
         if let Some(holder) = self.holder(&request.key) {
             let answer = holder.answer_claim(&request.token);
-            return self.effects.push(ClaimEffect::Answer { claim_id: ticket, answer });
+            return self.effects.push(ClaimEffect::Answer { claim_id, answer });
         }
         if now_us < self.retry_at_us {
             let answer = ClaimAnswer::Unavailable;
-            return self.effects.push(ClaimEffect::Answer { claim_id: ticket, answer });
+            return self.effects.push(ClaimEffect::Answer { claim_id, answer });
         }
         let record = ClaimRecord::Claim(request);
-        self.pending.push(PendingRecord { record, claim_id: Some(ticket) });
+        self.pending.push(PendingRecord { record, claim_id: Some(claim_id) });
     }
 
-    /// Lets an ending wait for the next write; one for a claim that was not written drops it.
+    /// Queues an ending for the next write.
+    ///
+    /// An ending `NotRun` for a claim that is still queued removes the claim instead.
     fn queue_ending(&mut self, request: RecordRequest) {
-        let is_its_claim = |waiting: &PendingRecord| matches!(&waiting.record, ClaimRecord::Claim(claim) if claim.token == request.token);
+        let is_its_claim = |pending: &PendingRecord| matches!(&pending.record, ClaimRecord::Claim(claim) if claim.token == request.token);
         if request.ending == Ending::NotRun
             && let Some(index) = self.pending.iter().position(is_its_claim)
         {
-            let ticket = self.pending.remove(index).claim_id;
+            let claim_id = self.pending.remove(index).claim_id;
             let answer = ClaimAnswer::Unavailable;
-            let refuse = |ticket| ClaimEffect::Answer { claim_id: ticket, answer };
-            return self.effects.extend(ticket.map(refuse));
+            let refuse = |claim_id| ClaimEffect::Answer { claim_id, answer };
+            return self.effects.extend(claim_id.map(refuse));
         }
         self.pending.push(PendingRecord { record: ClaimRecord::Ending(request), claim_id: None });
     }
 
-    /// Who holds a key, in either epoch.
+    /// Returns the holder of a key in the current or previous epoch.
     fn holder(&self, key: &str) -> Option<&KeyHolder> {
         let holders = [&self.current_log, &self.previous_log].map(|log| log.holders.get(key));
         holders.into_iter().flatten().find(|holder| holder.ending != Some(Ending::NotRun))
     }
 
-    /// Goes over to the logs of the wall clock's epoch, once nothing is unsettled.
+    /// Switches to the logs of the wall clock's epoch, once no call is in flight and no batch is
+    /// left to write.
     fn advance_epoch(&mut self, wall_ms: u64) {
         // A node whose clock is ahead may have sealed this epoch's log already.
-        let sealed_to = self.epoch + u64::from(self.current_log.is_sealed);
-        let epoch = sealed_to.max(wall_ms / self.policy.epoch_ms);
+        let min_epoch = self.epoch + u64::from(self.current_log.is_sealed);
+        let epoch = min_epoch.max(wall_ms / self.policy.epoch_ms);
         if epoch <= self.epoch || self.call_in_flight.is_some() || self.batch.is_some() {
             return;
         }
         let is_next = epoch == self.epoch + 1;
         self.epoch = epoch;
-        let last = std::mem::replace(&mut self.current_log, ClaimLog::new(self.bucket, epoch));
-        self.previous_log = if is_next { last } else { ClaimLog::new(self.bucket, epoch - 1) };
+        let previous = std::mem::replace(&mut self.current_log, ClaimLog::new(self.bucket, epoch));
+        self.previous_log = if is_next { previous } else { ClaimLog::new(self.bucket, epoch - 1) };
         if epoch >= 2 {
             let prefix = log_prefix(self.bucket, epoch - 2);
             self.effects.push(ClaimEffect::Purge { prefix });
         }
     }
 
-    /// Starts the next call, if one is wanted and none runs.
+    /// Starts the next store call, if one is needed and none is in flight.
     fn start_next_call(&mut self, now_us: u64) {
         if self.call_in_flight.is_some() {
             return;
@@ -220,7 +228,8 @@
         if now_us < self.write_due_us() { NextAction::Wait } else { NextAction::WriteBatch }
     }
 
-    /// When what waits may be written: endings alone wait a while for a claim to go with.
+    /// Returns when the queued records may be written. Endings without a claim are delayed so that
+    /// they can share a write with one.
     fn write_due_us(&self) -> u64 {
         let has_claim = self.pending.iter().any(|one| one.claim_id.is_some());
         let ending_at_us =
@@ -229,34 +238,34 @@
         self.next_write_us.max(wait_us)
     }
 
-    /// The write that seals the last epoch's log.
+    /// Returns the write that seals the previous epoch's log.
     fn seal_call(&self) -> StoreCall {
         let batch = eco_format!("{}-seal", self.instance_id);
         let segment = ClaimSegment { batch, records: vec![ClaimRecord::Sealed] };
         StoreCall::Write { key: self.previous_log.next_key(), value: segment_to_json(&segment) }
     }
 
-    /// The write of everything that waits, or of the batch that has not been settled.
+    /// Returns the write of the current batch, or of a new one made from the queued records.
     fn write_batch(&mut self, now_us: u64) -> StoreCall {
-        let saved_us =
+        let burst_start_us =
             now_us.saturating_sub((self.policy.write_burst - 1) * self.policy.write_interval_us);
-        self.next_write_us = self.next_write_us.max(saved_us) + self.policy.write_interval_us;
+        self.next_write_us = self.next_write_us.max(burst_start_us) + self.policy.write_interval_us;
         self.oldest_ending_us = None;
         if self.batch.is_none() {
             self.next_batch_number += 1;
-            let waiting: Vec<PendingRecord> =
+            let drained: Vec<PendingRecord> =
                 self.pending.drain(..next_batch_len(&self.pending)).collect();
-            let (records, tickets) =
-                waiting.into_iter().map(|waiting| (waiting.record, waiting.claim_id)).unzip();
+            let (records, claim_ids) =
+                drained.into_iter().map(|pending| (pending.record, pending.claim_id)).unzip();
             let batch = eco_format!("{}-{}", self.instance_id, self.next_batch_number);
             let segment = ClaimSegment { batch, records };
-            self.batch = Some(ClaimBatch { segment, claim_ids: tickets, is_unconfirmed: false });
+            self.batch = Some(ClaimBatch { segment, claim_ids, is_unconfirmed: false });
         }
         let segment = self.batch.as_ref().map(|batch| segment_to_json(&batch.segment));
         StoreCall::Write { key: self.current_log.next_key(), value: segment.unwrap_or_default() }
     }
 
-    /// Takes the result of the call that ran.
+    /// Handles the result of the call in flight.
     fn handle_result(&mut self, now_us: u64, result: StoreResult) {
         let Some(call) = self.call_in_flight.take() else { return };
         if result == StoreResult::Failed {
@@ -274,7 +283,8 @@
             (StoreCall::Write { value: text, .. }, StoreResult::Written) => {
                 self.apply_stored_segment(&text);
             }
-            // Somebody else wrote this segment; it is read like one whose answer was lost.
+            // This segment exists, written by another node or by an earlier attempt whose answer
+            // was lost. Reading it tells which.
             (StoreCall::Write { key, .. }, StoreResult::Conflict) => {
                 let call = StoreCall::Read { key };
                 self.call_in_flight = Some(call.clone());
@@ -290,7 +300,7 @@
         }
     }
 
-    /// Applies a segment that is in the store, whoever wrote it.
+    /// Applies a segment that is in the store, written by this or another node.
     fn apply_stored_segment(&mut self, text: &EcoString) {
         if !self.previous_log.is_sealed {
             return self.previous_log.apply_segment(text);
@@ -309,22 +319,22 @@
         self.answer_held_claims();
     }
 
-    /// Answers the claims of a batch that is in the log now.
+    /// Answers the claims of a batch that is now in the log.
     ///
-    /// A claim whose entry was told "unavailable" meanwhile runs nowhere, so its key is freed.
+    /// A claim that was already answered with "unavailable" runs nowhere, so its key is freed.
     fn answer_batch(&mut self) {
         let Some(batch) = self.batch.take() else { return };
-        for (record, ticket) in batch.segment.records.into_iter().zip(batch.claim_ids) {
+        for (record, claim_id) in batch.segment.records.into_iter().zip(batch.claim_ids) {
             let ClaimRecord::Claim(request) = record else { continue };
             let ClaimRequest { key, token, .. } = request;
             let holder = self.holder(&key).cloned();
             let answer = match &holder {
-                // A sealed log took no claims; they wait for the next epoch's.
+                // The log was sealed before this batch, so the claim has no effect.
                 None => ClaimAnswer::Unavailable,
                 Some(holder) => holder.answer_claim(&token),
             };
-            match ticket {
-                Some(ticket) => self.effects.push(ClaimEffect::Answer { claim_id: ticket, answer }),
+            match claim_id {
+                Some(claim_id) => self.effects.push(ClaimEffect::Answer { claim_id, answer }),
                 None if answer == ClaimAnswer::Granted => {
                     self.queue_ending(RecordRequest { key, token, ending: Ending::NotRun });
                 }
@@ -333,26 +343,27 @@
         }
     }
 
-    /// Answers waiting claims whose key turned out to be held.
+    /// Answers queued claims whose key is held now.
     fn answer_held_claims(&mut self) {
-        let waiting = std::mem::take(&mut self.pending);
-        for one in waiting {
-            let held = match (&one.record, one.claim_id) {
-                (ClaimRecord::Claim(request), Some(ticket)) => self
+        let records = std::mem::take(&mut self.pending);
+        for pending in records {
+            let held = match (&pending.record, pending.claim_id) {
+                (ClaimRecord::Claim(request), Some(claim_id)) => self
                     .holder(&request.key)
-                    .map(|holder| (ticket, holder.answer_claim(&request.token))),
+                    .map(|holder| (claim_id, holder.answer_claim(&request.token))),
                 _ => None,
             };
             match held {
-                Some((ticket, answer)) => {
-                    self.effects.push(ClaimEffect::Answer { claim_id: ticket, answer });
+                Some((claim_id, answer)) => {
+                    self.effects.push(ClaimEffect::Answer { claim_id, answer });
                 }
-                None => self.pending.push(one),
+                None => self.pending.push(pending),
             }
         }
     }
 
-    /// Settles a write whose answer was lost, or refuses what waits while the store is away.
+    /// Marks the batch of a failed write for a check, or refuses all waiting claims and backs off
+    /// while the store is unavailable.
     fn handle_failure(&mut self, now_us: u64, call: &StoreCall) {
         self.consecutive_failures += 1;
         if matches!(call, StoreCall::Write { .. }) {
@@ -369,24 +380,26 @@
         let (claims, endings): (Vec<PendingRecord>, Vec<PendingRecord>) =
             std::mem::take(&mut self.pending).into_iter().partition(|one| one.claim_id.is_some());
         self.pending = endings;
-        for ticket in refused.into_iter().chain(claims.into_iter().filter_map(|one| one.claim_id)) {
+        for claim_id in refused.into_iter().chain(claims.into_iter().filter_map(|one| one.claim_id))
+        {
             let answer = ClaimAnswer::Unavailable;
-            self.effects.push(ClaimEffect::Answer { claim_id: ticket, answer });
+            self.effects.push(ClaimEffect::Answer { claim_id, answer });
         }
     }
 }
 
-/// How many records go in the next batch: as many as its size allows, and one at least.
-fn next_batch_len(waiting: &[PendingRecord]) -> usize {
+/// Returns the number of records in the next batch: as many as fit in [`MAX_BATCH_BYTES`], and
+/// at least one.
+fn next_batch_len(pending: &[PendingRecord]) -> usize {
     let mut bytes = 0;
-    let fits = |one: &&PendingRecord| {
-        bytes += record_bytes(&one.record);
+    let fits = |record: &&PendingRecord| {
+        bytes += record_bytes(&record.record);
         bytes <= MAX_BATCH_BYTES
     };
-    waiting.iter().take_while(fits).count().max(1).min(waiting.len())
+    pending.iter().take_while(fits).count().max(1).min(pending.len())
 }
 
-/// About how long a record is in the store.
+/// Estimates the size of a record in the store.
 fn record_bytes(record: &ClaimRecord) -> usize {
     let text = match record {
         ClaimRecord::Claim(request) => request.key.len(),
--- a/crates/sassafrasproxy-core/src/lib.rs
+++ b/crates/sassafrasproxy-core/src/lib.rs
@@ -1,8 +1,9 @@
-//! The decisions of a node as pure reducers: events and the time go in, effects come out.
+//! The decision logic of a node, as pure reducers that take an event and the current time and
+//! return effects.
 //!
-//! Nothing here reads a clock, does I/O, draws global random numbers or keeps a static; so a run
-//! can be replayed, and hundreds of nodes fit in one test. Times are microseconds of the node's
-//! monotonic clock unless a name says otherwise.
+//! The crate reads no clock, does no I/O, uses no global random generator and has no mutable
+//! statics. A run can therefore be replayed, and one test can simulate hundreds of nodes. Times
+//! are microseconds of the node's monotonic clock unless a name says otherwise.
 
 mod claims;
 mod control;
@@ -31,5 +32,5 @@
 };
 pub use self::view::View;
 
-/// Microseconds in a millisecond.
+/// The number of microseconds in a millisecond.
 pub const US_PER_MS: u64 = 1_000;
