--- a/crates/sassafrasproxy-core/src/control/holdings.rs
+++ b/crates/sassafrasproxy-core/src/control/holdings.rs
@@ -1,4 +1,4 @@
-//! What each home published of its groups, and which of it counts.
+//! The holdings that homes published for replica groups, and the selection of the effective ones.
 
 use std::sync::Arc;
 
@@ -6,48 +6,49 @@
 use indexmap::IndexMap;
 use sassafrasproxy_wire::{GroupHoldings, NodeHoldings};
 
-/// Publications by home and group.
+/// The published holdings by home and group.
 ///
-/// Of several homes' words on one group, that of the home in this node's view counts, and only
-/// without one the latest. Guards against a node that was home for a moment, while it knew
-/// nobody else: what it published then is later than what the true home has to say, and would
-/// hide that for good.
+/// If several nodes published holdings for a group, those of its home in this node's view are
+/// effective; the latest ones are effective only if that home published none. This guards against
+/// a node that was the home only for a short time, before it knew any other member: its holdings
+/// are later than those of the true home and would otherwise hide them permanently.
 #[derive(Debug, Default)]
 pub struct HoldingsTable {
     published_by_node: IndexMap<EcoString, IndexMap<EcoString, GroupHoldings>>,
-    /// What counts, by group.
+    /// The effective holdings by group.
     effective: Arc<IndexMap<EcoString, GroupHoldings>>,
 }
 
 impl HoldingsTable {
-    /// What counts, by group.
+    /// Returns the effective holdings by group.
     pub fn effective(&self) -> &Arc<IndexMap<EcoString, GroupHoldings>> {
         &self.effective
     }
 
-    /// Takes a node's publications in; a whole one replaces all that it published before.
-    pub fn merge_node(&mut self, heard: NodeHoldings, home: impl Fn(&str) -> Option<EcoString>) {
-        if heard.is_whole {
-            let node = self.published_by_node.swap_remove(&heard.node);
-            for group in node.into_iter().flat_map(IndexMap::into_keys) {
+    /// Merges a node's holdings; a full set replaces all that the node published before.
+    pub fn merge_node(&mut self, received: NodeHoldings, home: impl Fn(&str) -> Option<EcoString>) {
+        if received.is_whole {
+            let previous = self.published_by_node.swap_remove(&received.node);
+            for group in previous.into_iter().flat_map(IndexMap::into_keys) {
                 self.reselect(&group, home(&group).as_ref());
             }
         }
-        for holdings in heard.groups {
+        for holdings in received.groups {
             let group = holdings.group.clone();
             self.insert_if_newer(holdings);
             self.reselect(&group, home(&group).as_ref());
         }
     }
 
-    /// Takes one publication in, whoever passed it on; an older one of the same home is dropped.
+    /// Merges the holdings of one group, received from any node. Holdings that are not newer than
+    /// the known ones of the same home are dropped.
     pub fn merge_group(&mut self, holdings: GroupHoldings, home: Option<&EcoString>) {
         let group = holdings.group.clone();
         self.insert_if_newer(holdings);
         self.reselect(&group, home);
     }
 
-    /// Works out anew what counts, after homes, members or groups have changed.
+    /// Selects the effective holdings again after homes, members or groups have changed.
     pub fn reselect_all(
         &mut self,
         is_member: impl Fn(&str) -> bool,
@@ -59,8 +60,8 @@
         }
         Arc::make_mut(&mut self.effective).retain(|group, _| homes.contains_key(group));
         for (group, ranked) in homes {
-            let counts = self.effective.get(group).map(|holdings| &holdings.home);
-            if counts.is_none() || counts != ranked.first() {
+            let effective_home = self.effective.get(group).map(|holdings| &holdings.home);
+            if effective_home.is_none() || effective_home != ranked.first() {
                 self.reselect(group, ranked.first());
             }
         }
@@ -74,7 +75,7 @@
         }
     }
 
-    /// Works out what counts of one group; what counted stays while nothing better is known.
+    /// Selects the effective holdings of one group; the previous ones stay if none are known.
     fn reselect(&mut self, group: &EcoString, home: Option<&EcoString>) {
         let by_home = home.and_then(|home| self.published_by_node.get(home)?.get(group));
         let all = self.published_by_node.values().filter_map(|groups| groups.get(group));
--- a/crates/sassafrasproxy-core/src/control/members.rs
+++ b/crates/sassafrasproxy-core/src/control/members.rs
@@ -1,7 +1,9 @@
-//! The table of members, in the manner of SWIM.
+//! The membership table, which follows SWIM.
+//!
+//! Each node probes one member per tick. If the probe fails, it asks other members to probe before
+//! it suspects the member. A suspected member refutes the suspicion by raising its incarnation.
+//! Updates on members are sent with heartbeats.
 //!
-//! Each node probes one member a tick, asks others to probe before it suspects, and lets a
-//! suspected member refute by raising its incarnation. News travel with heartbeats.
 //! Source: A. Das, I. Gupta, A. Motivala, "SWIM", DSN 2002.
 
 use ecow::EcoString;
@@ -14,50 +16,51 @@
 
 use crate::hash_name;
 
-/// One node of the system.
+/// One member of the cluster.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Member {
-    /// Its name.
+    /// The name of the node.
     pub node: EcoString,
     /// The address that peers use.
     pub peer_address: EcoString,
     /// The address that callers use.
     pub address: EcoString,
-    /// Where it is.
+    /// The failure domain that it runs in.
     pub failure_domain: EcoString,
-    /// The address where it relays requests; empty where it does not.
+    /// The address where it relays requests; empty if it relays none.
     pub relay_address: EcoString,
-    /// How much of a core it has, in thousandths; 0 where it does not say.
+    /// The CPU capacity in thousandths of a core; 0 if it is not reported.
     pub cpu_millis: u32,
-    /// Its state in this node's view.
+    /// The state in this node's view.
     pub state: MemberState,
-    /// Raised only by the member itself.
+    /// The incarnation number; only the member itself raises it.
     pub incarnation: u64,
-    /// The hash of its name, for rendezvous scores.
+    /// The hash of the node's name, for rendezvous scores.
     pub name_hash: u64,
-    /// The hash of its failure domain's name.
+    /// The hash of the failure domain's name.
     pub domain_hash: u64,
-    /// The hash of its state and incarnation; 0 while it is dead.
+    /// The hash of name, state and incarnation; 0 while the member is dead.
     state_hash: u64,
-    /// The configuration revision that it last reported.
+    /// The configuration revision that the member last reported.
     pub revision: u64,
-    /// The version of its holdings that it last reported.
+    /// The version of the member's holdings that this node has.
     pub holdings_version: u64,
     /// When this node last heard from it directly; 0 if never.
     pub last_heartbeat_us: u64,
-    /// When its state last changed in this node's view.
+    /// When this node last recorded a new state or incarnation of the member.
     pub state_since_us: u64,
 }
 
 impl Member {
-    /// Whether it may be the home of a replica group.
+    /// Whether the member may be the home of a replica group.
     ///
-    /// A suspected member may: moving homes on a suspicion would move them twice for every pause.
+    /// A suspected member may be one: if a suspicion moved homes, each short pause of a node would
+    /// move them twice.
     pub fn may_be_home(&self) -> bool {
         matches!(self.state, MemberState::Alive | MemberState::Suspect)
     }
 
-    /// What to tell others of it.
+    /// Returns the update on this member to send to others.
     pub fn to_update(&self) -> MemberUpdate {
         MemberUpdate {
             node: self.node.clone(),
@@ -92,44 +95,46 @@
     }
 }
 
-/// All members that this node knows, itself included.
+/// All members that this node knows, including itself.
 #[derive(Debug, Clone)]
 pub struct MemberTable {
     local_node: EcoString,
-    /// By name; always has this node.
+    /// The members by name; always contains this node.
     members: IndexMap<EcoString, Member>,
-    /// How often each member's news are still to be sent.
+    /// The number of remaining sends of each member's update.
     pending_updates: IndexMap<EcoString, u32>,
-    /// Members still to be probed in this round.
+    /// The members still to be probed in this round.
     probe_round: Vec<EcoString>,
-    /// How many members there were when the round began.
+    /// The number of members when the round began.
     probe_round_size: usize,
-    /// Where the full table's slow round of news goes on.
+    /// The index of the member last sent in the round-robin through the whole table.
     sync_cursor: usize,
+    /// The wrapping sum of all members' state hashes.
     members_hash: u64,
 }
 
-/// Hashes over a part of a table of members, so that two nodes find the few on which they disagree.
+/// Hashes over one part of a membership table, by which two nodes find the members on which they
+/// disagree.
 ///
-/// A part has few members for each hash, whatever the size of the table.
+/// The number of parts grows with the table, so that few members share a hash.
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct Digests {
-    /// Which part, counted from 0.
+    /// The index of the part, counted from 0.
     pub part: u32,
-    /// Of how many.
+    /// The total number of parts.
     pub parts: u32,
-    /// The hashes, each over the members whose names fall into it.
+    /// The hashes, each over the members whose name hash maps to it.
     pub hashes: Vec<u32>,
 }
 
 impl Digests {
-    /// Which hash a member belongs to, if it is in this part.
+    /// Returns the index of the hash that covers a member, if the member is in this part.
     fn bucket_index(&self, name_hash: u64) -> Option<usize> {
         let count = self.hashes.len() as u64;
-        // Both come from a peer: a part without hashes has no member.
-        let place = name_hash.checked_rem(count * u64::from(self.parts))?;
-        (place / count == u64::from(self.part)).then_some((place % count) as usize)
+        // Both values come from a peer. If one is 0, no member is in the part.
+        let index = name_hash.checked_rem(count * u64::from(self.parts))?;
+        (index / count == u64::from(self.part)).then_some((index % count) as usize)
     }
 }
 
@@ -143,7 +148,7 @@
 }
 
 impl MemberTable {
-    /// A table with this node only.
+    /// Creates a table that contains only this node.
     pub fn new(me: &MemberUpdate, now_us: u64) -> Self {
         let members = [(me.node.clone(), Member::new(me, now_us))].into_iter().collect();
         let mut table = Self {
@@ -159,42 +164,42 @@
         table
     }
 
-    /// This node's own entry.
+    /// Returns this node's own entry.
     pub fn local_member(&self) -> &Member {
         &self.members[&self.local_node]
     }
 
-    /// One member.
+    /// Returns a member by name.
     pub fn member(&self, node: &str) -> Option<&Member> {
         self.members.get(node)
     }
 
-    /// The member that has a peer address and is not dead.
+    /// Returns the member with a peer address, unless it is dead.
     pub fn by_peer_address(&self, peer_address: &str) -> Option<&Member> {
         self.present().find(|member| member.peer_address == peer_address)
     }
 
-    /// All members that are not dead, this node included.
+    /// Returns all members that are not dead, including this node.
     pub fn present(&self) -> impl Iterator<Item = &Member> {
         self.members.values().filter(|member| member.state != MemberState::Dead)
     }
 
-    /// All members that are not dead, this node excluded.
+    /// Returns all members that are not dead, excluding this node.
     pub fn peers(&self) -> impl Iterator<Item = &Member> {
         self.present().filter(|member| member.node != self.local_node)
     }
 
-    /// A hash over the members that are not dead, equal in all nodes that agree.
+    /// Returns a hash over the members that are not dead, equal on all nodes that agree on them.
     pub fn members_hash(&self) -> u64 {
         self.members_hash
     }
 
-    /// The member whose name has a hash, dead ones included.
+    /// Returns the member with a name hash, even if it is dead.
     pub fn by_name_hash(&self, name_hash: u64) -> Option<&Member> {
         self.members.values().find(|member| member.name_hash == name_hash)
     }
 
-    /// Hashes over the members that are not dead, in one part of the table.
+    /// Returns hashes over the members of one part of the table that are not dead.
     pub fn digests(&self, part: u32, parts: u32, count: usize) -> Digests {
         let mut digests = Digests { part, parts, hashes: vec![0; count] };
         for member in self.members.values() {
@@ -206,7 +211,8 @@
         digests
     }
 
-    /// The members, dead ones included, for which a peer's digests differ from this node's.
+    /// Returns the members, including dead ones, for which a peer's digests differ from this
+    /// node's.
     pub fn members_differing_from(&self, theirs: &Digests) -> Vec<&Member> {
         let ours = self.digests(theirs.part, theirs.parts, theirs.hashes.len());
         let is_differing = |member: &&Member| {
@@ -216,16 +222,18 @@
         self.members.values().filter(is_differing).collect()
     }
 
-    /// Takes news on one member in, by incarnation and then by state.
+    /// Merges an update on one member; the greater incarnation wins, then the greater state.
+    ///
+    /// Returns the change if the member's state changed.
     pub fn merge(&mut self, now_us: u64, update: &MemberUpdate) -> Option<MemberChange> {
         if update.node == self.local_node {
             return self.refute(update);
         }
         let known = self.members.get(&update.node);
-        let is_news = known.is_none_or(|known| {
+        let is_newer = known.is_none_or(|known| {
             (update.incarnation, update.state) > (known.incarnation, known.state)
         });
-        if !is_news || (known.is_none() && update.state == MemberState::Dead) {
+        if !is_newer || (known.is_none() && update.state == MemberState::Dead) {
             return None;
         }
         let mut member = Member::new(update, now_us);
@@ -234,8 +242,8 @@
             member.last_heartbeat_us = known.last_heartbeat_us;
             member.state_hash = known.state_hash;
             member.revision = known.revision;
-            let is_same_life = known.incarnation == update.incarnation;
-            member.holdings_version = if is_same_life { known.holdings_version } else { 0 };
+            let is_same_incarnation = known.incarnation == update.incarnation;
+            member.holdings_version = if is_same_incarnation { known.holdings_version } else { 0 };
         }
         self.members.insert(update.node.clone(), member);
         self.queue_update(&update.node);
@@ -243,7 +251,7 @@
         (old_state != Some(update.state)).then_some(change)
     }
 
-    /// Notes that a peer's heartbeat came; returns whether its holdings are newer than known.
+    /// Records a peer's heartbeat. Returns whether the peer's holdings are newer than those known.
     pub fn record_heartbeat(&mut self, now_us: u64, heartbeat: &Heartbeat) -> bool {
         let Some(member) = self.members.get_mut(&heartbeat.from.node) else { return false };
         member.last_heartbeat_us = now_us;
@@ -251,14 +259,15 @@
         heartbeat.holdings_version > member.holdings_version
     }
 
-    /// Notes which version of a peer's holdings this node has.
+    /// Records which version of a peer's holdings this node has.
     pub fn record_holdings_version(&mut self, node: &str, version: u64) {
         if let Some(member) = self.members.get_mut(node) {
             member.holdings_version = member.holdings_version.max(version);
         }
     }
 
-    /// Suspects a member that answered neither this node nor others; one that is leaving is gone.
+    /// Marks a member that answered neither direct nor indirect probes as suspected. A member that
+    /// is leaving is marked as dead at once.
     pub fn suspect(&mut self, now_us: u64, node: &str) -> Option<MemberChange> {
         let member = self.members.get(node)?;
         let state = match member.state {
@@ -270,13 +279,20 @@
         self.merge(now_us, &update)
     }
 
-    /// Gives up on members that did not refute in time, and forgets those long dead.
-    pub fn expire(&mut self, now_us: u64, suspect_us: u64, forget_us: u64) -> Vec<MemberChange> {
+    /// Marks suspected members as dead after the suspicion timeout, and removes members that have
+    /// been dead for the retention time. Returns the members that are now dead.
+    pub fn expire(
+        &mut self,
+        now_us: u64,
+        suspicion_timeout_us: u64,
+        dead_retention_us: u64,
+    ) -> Vec<MemberChange> {
         self.members.retain(|_, member| {
-            member.state != MemberState::Dead || now_us < member.state_since_us + forget_us
+            member.state != MemberState::Dead || now_us < member.state_since_us + dead_retention_us
         });
         let is_expired = |member: &&Member| {
-            member.state == MemberState::Suspect && now_us >= member.state_since_us + suspect_us
+            member.state == MemberState::Suspect
+                && now_us >= member.state_since_us + suspicion_timeout_us
         };
         let expired: Vec<MemberUpdate> = self
             .members
@@ -287,7 +303,7 @@
         expired.iter().filter_map(|update| self.merge(now_us, update)).collect()
     }
 
-    /// Announces that this node is leaving.
+    /// Marks this node as leaving and queues the update.
     pub fn leave(&mut self, now_us: u64) {
         let me = self.local_node.clone();
         if let Some(member) = self.members.get_mut(&me) {
@@ -297,9 +313,10 @@
         self.queue_update(&me);
     }
 
-    /// The next member to probe: each once a round, in a random order.
+    /// Returns the next member to probe: each member once per round, in random order.
     pub fn next_probe_target(&mut self, rng: &mut impl Rng) -> Option<&Member> {
-        // A round that began with few members would go on probing these alone for long.
+        // If the table has more than doubled, a new round starts. Otherwise only the few members
+        // known when the round began would be probed until it ends.
         if self.members.len() > 2 * self.probe_round_size {
             self.probe_round.clear();
         }
@@ -313,13 +330,13 @@
                 }
             }
             let node = self.probe_round.pop()?;
-            if self.members.get(&node).is_some_and(|one| one.state != MemberState::Dead) {
+            if self.members.get(&node).is_some_and(|member| member.state != MemberState::Dead) {
                 return self.members.get(&node);
             }
         }
     }
 
-    /// Some peers that answer, chosen at random, one node excluded.
+    /// Returns up to `count` random peers that are alive, excluding one node.
     pub fn random_peers(
         &self,
         rng: &mut impl Rng,
@@ -333,20 +350,24 @@
         candidates.sample(rng, count).copied().collect()
     }
 
-    /// The members that changed since the last call, for who spreads the news by itself.
+    /// Returns the members that changed since the last call, and clears their queued updates.
+    ///
+    /// Serves callers that spread updates by a protocol of their own.
     pub fn take_changed_nodes(&mut self) -> Vec<EcoString> {
         self.pending_updates.drain(..).map(|(node, _)| node).collect()
     }
 
-    /// The news to send along: fresh ones first, then a slow round through the whole table.
-    pub fn take_updates(&mut self, count: usize, fill: usize) -> Vec<MemberUpdate> {
-        let fresh: Vec<EcoString> = self.pending_updates.keys().take(count).cloned().collect();
+    /// Returns the updates to send with a heartbeat: up to `queued_count` queued ones, then up to
+    /// `sync_count` from a round-robin through the whole table.
+    pub fn take_updates(&mut self, queued_count: usize, sync_count: usize) -> Vec<MemberUpdate> {
+        let queued: Vec<EcoString> =
+            self.pending_updates.keys().take(queued_count).cloned().collect();
         let mut updates = Vec::new();
-        for node in fresh {
+        for node in queued {
             self.record_update_sent(&node);
             updates.extend(self.members.get(&node).map(Member::to_update));
         }
-        for _ in 0..fill.min(self.members.len()) {
+        for _ in 0..sync_count.min(self.members.len()) {
             self.sync_cursor = (self.sync_cursor + 1) % self.members.len();
             let Some((node, member)) = self.members.get_index(self.sync_cursor) else { continue };
             if updates.iter().all(|update| update.node != *node) {
@@ -356,18 +377,19 @@
         updates
     }
 
-    /// Counts one send of a member's news; those sent least come first the next time.
+    /// Counts one send of a member's update and moves it to the end of the queue, so that the
+    /// updates sent least come first.
     fn record_update_sent(&mut self, node: &EcoString) {
-        let Some(left) = self.pending_updates.shift_remove(node) else { return };
-        if left > 1 {
-            self.pending_updates.insert(node.clone(), left - 1);
+        let Some(remaining) = self.pending_updates.shift_remove(node) else { return };
+        if remaining > 1 {
+            self.pending_updates.insert(node.clone(), remaining - 1);
         }
     }
 
-    /// Raises this node's incarnation above wrong news on it.
+    /// Raises this node's incarnation above that of a wrong update on it.
     ///
-    /// Guards against a node that was paused or cut off and is thought dead: it learns so from
-    /// the next heartbeat, and the raised incarnation overrules the news everywhere.
+    /// A node that was paused or partitioned may be believed dead by others. It learns this from
+    /// the next heartbeat, and its raised incarnation overrides the wrong state in all tables.
     fn refute(&mut self, update: &MemberUpdate) -> Option<MemberChange> {
         let me = self.local_node.clone();
         let member = self.members.get_mut(&me)?;
@@ -380,20 +402,21 @@
         None
     }
 
-    /// Puts a member's news on the way and updates the hash.
+    /// Queues a member's update for sending, and updates its hash and the table's hash.
     fn queue_update(&mut self, node: &EcoString) {
-        let rounds = 3 * (self.members.len() + 1).ilog2().max(1);
-        self.pending_updates.insert(node.clone(), rounds);
+        let send_count = 3 * (self.members.len() + 1).ilog2().max(1);
+        self.pending_updates.insert(node.clone(), send_count);
         let Some(member) = self.members.get_mut(node) else { return };
-        let old = std::mem::replace(&mut member.state_hash, 0);
+        let old_hash = std::mem::replace(&mut member.state_hash, 0);
         if member.state != MemberState::Dead {
             member.state_hash = hash_member(member);
         }
-        self.members_hash = self.members_hash.wrapping_sub(old).wrapping_add(member.state_hash);
+        self.members_hash =
+            self.members_hash.wrapping_sub(old_hash).wrapping_add(member.state_hash);
     }
 }
 
-/// Hashes what nodes must agree on of one member.
+/// Hashes the fields of a member on which nodes must agree.
 fn hash_member(member: &Member) -> u64 {
     let text = ecow::eco_format!("{} {} {:?}", member.node, member.incarnation, member.state);
     xxh3_64(text.as_bytes())
--- a/crates/sassafrasproxy-core/src/control/message.rs
+++ b/crates/sassafrasproxy-core/src/control/message.rs
@@ -1,38 +1,40 @@
-//! Events that the control reducer takes in and effects that it asks for.
+//! Events that the control reducer handles and effects that it requests.
 
 use ecow::EcoString;
 use sassafrasproxy_wire::{
     Configuration, EventKind, GroupHoldings, Heartbeat, NodeHoldings, VmEntry,
 };
 
-/// Times and counts of the control reducer.
+/// The timing parameters and limits of the control reducer.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct ControlPolicy {
     /// The time between two ticks; each probes one member.
     pub heartbeat_interval_us: u64,
-    /// How long a suspected member has to refute.
+    /// How long a suspected member has to refute the suspicion.
     pub suspicion_timeout_us: u64,
-    /// How long a dead member is remembered, so that old news does not revive it.
+    /// How long a dead member is kept in the table, so that old updates do not revive it.
     pub dead_retention_us: u64,
-    /// How many members probe on this node's behalf before it suspects another.
+    /// The number of members asked to probe on this node's behalf before it suspects a member.
     pub indirect_probe_count: usize,
-    /// How many members hear at once of a new configuration from each that takes it.
+    /// The number of peers to which a node sends a heartbeat at once when it adopts a new
+    /// configuration.
     pub configuration_fan_out: usize,
-    /// How many news on members go with a heartbeat.
+    /// The maximum number of queued member updates in a heartbeat, and of further updates for a
+    /// peer whose member hash differs.
     pub updates_per_heartbeat: usize,
-    /// How long a node may count other members than its peers before it asks for more news.
+    /// How long a node's member hash may differ from its peers' before it asks for more updates.
     pub hash_mismatch_timeout_us: u64,
-    /// How many go to a node that was not known before, or that asks for more.
+    /// The number of further updates for a node that was not known before or that asks for more.
     pub updates_for_new_member: usize,
-    /// How many nodes of each failure domain watch the store.
+    /// The number of nodes in each failure domain that watch the store.
     pub watchers_per_domain: usize,
-    /// How long a node without configuration waits for peers before it reads the store.
+    /// How long a node without a configuration waits for its peers before it reads the store.
     pub store_fallback_us: u64,
-    /// The least time between two reads of the VM list by this node.
+    /// The minimum time between two reads of the VM list by this node.
     pub vm_list_interval_us: u64,
-    /// What each member adds to that time, which bounds the reads of the whole fleet.
+    /// The minimum time between two reads per member. It limits the rate of reads of all nodes.
     pub vm_list_interval_per_member_us: u64,
-    /// Whether each node sends to upstreams itself instead of through homes; only to measure by.
+    /// Whether each node sends to upstreams itself instead of through homes; for measurements only.
     pub bypasses_homes: bool,
 }
 
@@ -57,21 +59,21 @@
 }
 
 impl ControlPolicy {
-    /// How long the views of two nodes may differ on who is alive.
+    /// Returns how long the views of two nodes may differ on which members are alive.
     ///
-    /// A member that one node stops hearing is probed by each other node within a few ticks,
-    /// suspected, and given up after the suspicion; news of that takes a few ticks more.
+    /// Other nodes probe a member that stops answering within a few ticks, suspect it, and mark it
+    /// as dead after the suspicion timeout. The update takes a few more ticks to spread.
     pub fn view_skew_us(&self) -> u64 {
         self.suspicion_timeout_us + 6 * self.heartbeat_interval_us
     }
 }
 
-/// What the control reducer takes in.
+/// An event that the control reducer handles.
 #[derive(Debug, Clone, PartialEq)]
 pub enum ControlEvent {
     /// The time between two heartbeats has passed.
     Tick,
-    /// A peer's heartbeat came, as a probe or as the answer to one.
+    /// A peer's heartbeat was received, as a probe or as the answer to one.
     HeartbeatReceived(Heartbeat),
     /// A probe of this node got no answer.
     ProbeFailed {
@@ -82,41 +84,41 @@
         /// Whether other members probed on this node's behalf.
         is_indirect: bool,
     },
-    /// Traffic to a peer failed, which is a reason to probe it now.
+    /// Traffic to a peer failed, so that it is probed at once.
     PeerFailed {
         /// The peer.
         node: EcoString,
     },
-    /// A configuration was read and found good.
+    /// A valid configuration was read.
     ConfigurationReceived(Configuration),
-    /// A configuration was read and found bad.
+    /// An invalid configuration was read.
     ConfigurationRejected {
-        /// Its revision.
+        /// The revision of the configuration.
         revision: u64,
-        /// What is wrong.
+        /// The reason why it is invalid.
         detail: EcoString,
     },
-    /// A lane of this node published what its group serves.
+    /// A scheduler of this node published what its replica group serves.
     LocalHoldings(GroupHoldings),
-    /// A peer's holdings came.
+    /// A peer's holdings were received.
     HoldingsReceived(NodeHoldings),
-    /// A home corrected this node's picture of one group.
+    /// A home sent its current holdings of one group as a correction.
     GroupHoldingsReceived(GroupHoldings),
     /// The platform's VM list was read.
     VmListReceived(Vec<VmEntry>),
-    /// The graceful shutdown begins.
+    /// The graceful shutdown of this node begins.
     Shutdown,
 }
 
-/// What the control reducer asks its shell to do.
+/// An effect that the control reducer requests.
 #[derive(Debug, Clone, PartialEq)]
 pub enum ControlEffect {
-    /// Send a heartbeat to a peer address, and report the answer or its lack.
+    /// Send a heartbeat to a peer address, and report the answer or the failure.
     Probe {
         /// The address.
         peer_address: EcoString,
     },
-    /// Ask members to probe another, and report an answer or that none got one.
+    /// Ask members to probe another one, and report an answer or that none got one.
     ProbeIndirectly {
         /// The peer addresses of the members to ask.
         via_peer_addresses: Vec<EcoString>,
@@ -133,14 +135,14 @@
         /// The peer's address.
         peer_address: EcoString,
     },
-    /// Send this node's holdings to peers.
+    /// Send holdings of this node to peers.
     PushHoldings {
         /// The peers' addresses.
         peer_addresses: Vec<EcoString>,
-        /// What to send.
+        /// The holdings to send.
         holdings: NodeHoldings,
     },
-    /// Watch the store for configurations, or stop watching.
+    /// Start or stop watching the store for configurations.
     WatchStore {
         /// Whether to watch.
         is_on: bool,
@@ -149,8 +151,8 @@
     ReadStore,
     /// Read the platform's VM list.
     ReadVmList,
-    /// Give the traffic threads the changed view.
+    /// Publish the changed view to the traffic threads.
     PublishView,
-    /// Put an event on the time line.
+    /// Record an event in the timeline.
     RecordEvent(EventKind),
 }
--- a/crates/sassafrasproxy-core/src/control/mod.rs
+++ b/crates/sassafrasproxy-core/src/control/mod.rs
@@ -1,4 +1,4 @@
-//! The control reducer of a node: members, configuration, homes and holdings.
+//! The control reducer of a node, which keeps members, configuration, homes and holdings.
 
 mod holdings;
 mod members;
@@ -22,38 +22,40 @@
 use self::holdings::HoldingsTable;
 use crate::{GroupTable, HomeTable, View};
 
-/// How many ticks pass between two probes of seeds that are no members.
+/// The number of ticks between two probes of the seeds that are not members.
 const SEED_PROBE_INTERVAL_TICKS: u64 = 4;
 
-/// All control state of a node.
+/// The control state of a node.
 #[derive(Debug)]
 pub struct ControlPlane {
     policy: ControlPolicy,
     rng: StdRng,
     members: MemberTable,
-    /// Peer addresses to try besides the members', from settings and VM list.
+    /// Peer addresses from the settings and the VM list, probed while no member has them.
     seeds: IndexSet<EcoString>,
     configuration: Arc<Configuration>,
-    /// A newer revision that was found bad, and why.
+    /// A newer revision that is invalid, and the reason.
     rejected_revision: Option<(u64, EcoString)>,
     groups: Arc<GroupTable>,
     homes: HomeTable,
     holdings: HoldingsTable,
-    /// What this node's own lanes published; only groups that it is the home of.
+    /// The holdings that this node's schedulers published, only for groups of which it is the
+    /// home.
     local_holdings: IndexMap<EcoString, GroupHoldings>,
     holdings_version: u64,
     leaving_upstreams: Arc<IndexSet<EcoString>>,
     is_watching: bool,
     /// The time of the last event.
     now_us: u64,
-    /// Since when every heartbeat heard came from a node that counts other members.
+    /// The time since which every received heartbeat had a member hash that differs from this
+    /// node's.
     hash_mismatch_since_us: Option<u64>,
     ticks: u64,
     next_vm_list_us: u64,
     next_store_read_us: u64,
-    /// Whether the view changed in more than holdings.
+    /// Whether anything but holdings changed in the view.
     needs_publish: bool,
-    /// Whether every group must be ranked anew.
+    /// Whether the homes of every group must be ranked again.
     needs_full_ranking: bool,
     /// Members whose rank may have changed.
     changed_members: IndexSet<EcoString>,
@@ -61,7 +63,7 @@
 }
 
 impl ControlPlane {
-    /// The control state of a node that just started.
+    /// Creates the control state of a node that has just started.
     pub fn new(
         me: &MemberUpdate,
         seeds: impl IntoIterator<Item = EcoString>,
@@ -97,7 +99,7 @@
         control
     }
 
-    /// Takes one event in and returns what to do, in order.
+    /// Handles one event and returns the effects to apply, in order.
     pub fn step(&mut self, now_us: u64, event: ControlEvent) -> Vec<ControlEffect> {
         self.now_us = now_us;
         match event {
@@ -127,14 +129,15 @@
         std::mem::take(&mut self.effects)
     }
 
-    /// The heartbeat to send now, as a probe or as the answer to one from `to`.
+    /// Returns the heartbeat to send now, as a probe or as the answer to the heartbeat `to`.
     pub fn heartbeat(&mut self, hlc: Hlc, to: Option<&Heartbeat>) -> Heartbeat {
-        let fill = match to {
+        let sync_count = match to {
             Some(theirs) if self.members.member(&theirs.from.node).is_none() => {
                 self.policy.updates_for_new_member
             }
             Some(theirs) if theirs.members_hash == self.members.members_hash() => 0,
-            // Few after one change, many for a node that is still behind, as in a mass start.
+            // A single change needs few updates. A node that stays behind, as in a start of many
+            // nodes at once, needs many.
             Some(theirs) if theirs.wants_news => self.policy.updates_for_new_member,
             Some(_) => self.policy.updates_per_heartbeat,
             None => 0,
@@ -147,12 +150,12 @@
             wants_news: self.hash_mismatch_since_us.is_some_and(|since_us| {
                 self.now_us >= since_us + self.policy.hash_mismatch_timeout_us
             }),
-            updates: self.members.take_updates(self.policy.updates_per_heartbeat, fill),
+            updates: self.members.take_updates(self.policy.updates_per_heartbeat, sync_count),
             hlc,
         }
     }
 
-    /// The view for the traffic threads.
+    /// Returns the view for the traffic threads.
     pub fn view(&self) -> View {
         let me = self.members.local_member();
         let present = self.members.present();
@@ -161,14 +164,16 @@
             leaving: me.state == MemberState::Leaving,
             configuration: self.configuration.clone(),
             groups: self.groups.clone(),
-            members: Arc::new(present.map(|one| (one.node.clone(), one.clone())).collect()),
+            members: Arc::new(
+                present.map(|member| (member.node.clone(), member.clone())).collect(),
+            ),
             homes: self.homes.homes().clone(),
             holdings: self.holdings.effective().clone(),
             leaving_upstreams: self.leaving_upstreams.clone(),
         }
     }
 
-    /// What this node's own lanes published.
+    /// Returns the holdings that this node's schedulers published.
     pub fn local_holdings(&self) -> NodeHoldings {
         NodeHoldings {
             node: self.members.local_member().node.clone(),
@@ -178,22 +183,22 @@
         }
     }
 
-    /// The members, for the node's status.
+    /// Returns the membership table, for the node's status.
     pub fn members(&self) -> &MemberTable {
         &self.members
     }
 
-    /// The revision in force.
+    /// Returns the active configuration's revision.
     pub fn revision(&self) -> u64 {
         self.configuration.revision
     }
 
-    /// A newer revision that was found bad, and why.
+    /// Returns a newer revision that is invalid, and the reason.
     pub fn rejected_revision(&self) -> Option<&(u64, EcoString)> {
         self.rejected_revision.as_ref()
     }
 
-    /// Probes one member, gives up on those that did not refute, and reads what is due.
+    /// Expires suspected members, probes one member and starts the reads that are due.
     fn tick(&mut self, now_us: u64) {
         self.ticks += 1;
         let changes = self.members.expire(
@@ -212,14 +217,15 @@
         self.start_due_reads(now_us);
     }
 
-    /// Probes addresses that no member has, so that a node cut off at its start still joins.
+    /// Probes the seeds that no member has, so that a node that was partitioned at its start still
+    /// joins.
     fn probe_seeds(&mut self) {
         let unknown = self.seeds.iter().filter(|seed| self.members.by_peer_address(seed).is_none());
         let probes = unknown.map(|seed| ControlEffect::Probe { peer_address: seed.clone() });
         self.effects.extend(probes);
     }
 
-    /// Reads the VM list and, without a configuration, the store.
+    /// Starts the read of the VM list when it is due and, without a configuration, of the store.
     fn start_due_reads(&mut self, now_us: u64) {
         if now_us >= self.next_vm_list_us {
             let per_member_us = self.policy.vm_list_interval_per_member_us;
@@ -234,12 +240,13 @@
         }
     }
 
-    /// A time between one and one and a half of a base, so that nodes do not act in step.
+    /// Returns a random time between 1 and 1.5 times a base, so that nodes do not act at the same
+    /// time.
     fn jitter_us(&mut self, base_us: u64) -> u64 {
         base_us + self.rng.random_range(0..=base_us / 2)
     }
 
-    /// Takes a peer's heartbeat in.
+    /// Merges a peer's heartbeat, and pulls its holdings or configuration if they are newer.
     fn handle_heartbeat(&mut self, now_us: u64, heartbeat: &Heartbeat) {
         let mut changes = Vec::new();
         changes.extend(self.members.merge(now_us, &heartbeat.from));
@@ -262,7 +269,8 @@
         }
     }
 
-    /// Asks others to probe a member that did not answer, or suspects it if they failed too.
+    /// Asks other members to probe one that did not answer. Suspects it if their probes failed too
+    /// or if there is no other member to ask.
     fn handle_failed_probe(
         &mut self,
         now_us: u64,
@@ -280,15 +288,15 @@
             return self.record_changes(changes);
         }
         let count = self.policy.indirect_probe_count;
-        let helpers = self.members.random_peers(&mut self.rng, count, &node);
-        let vias: Vec<EcoString> = helpers.iter().map(|one| one.peer_address.clone()).collect();
-        if vias.is_empty() {
+        let peers = self.members.random_peers(&mut self.rng, count, &node);
+        let via_peer_addresses: Vec<EcoString> =
+            peers.iter().map(|peer| peer.peer_address.clone()).collect();
+        if via_peer_addresses.is_empty() {
             let changes = self.members.suspect(now_us, &node);
             return self.record_changes(changes);
         }
         let peer_address = peer_address.into();
-        self.effects
-            .push(ControlEffect::ProbeIndirectly { via_peer_addresses: vias, peer_address });
+        self.effects.push(ControlEffect::ProbeIndirectly { via_peer_addresses, peer_address });
     }
 
     /// Probes a member at once, because traffic to it failed.
@@ -300,7 +308,7 @@
         }
     }
 
-    /// Takes a configuration that is newer than the one in force, and only such a one.
+    /// Adopts a configuration if it is newer than the active one, else ignores it.
     fn apply_configuration(&mut self, configuration: Configuration) {
         if configuration.revision <= self.configuration.revision {
             return;
@@ -319,7 +327,8 @@
         self.probe_random_peers();
     }
 
-    /// Heartbeats to some peers at once, so that news need not wait for ticks.
+    /// Sends heartbeats to random peers at once, so that a new configuration does not wait for the
+    /// next ticks.
     fn probe_random_peers(&mut self) {
         let peers = self.members.random_peers(&mut self.rng, self.policy.configuration_fan_out, "");
         let probes: Vec<ControlEffect> = peers
@@ -329,7 +338,7 @@
         self.effects.extend(probes);
     }
 
-    /// Keeps the configuration in force and says loudly that a newer one is bad.
+    /// Records a newer configuration as invalid; the active one stays.
     fn reject_configuration(&mut self, revision: u64, detail: EcoString) {
         let known = self.rejected_revision.as_ref().map_or(0, |(revision, _)| *revision);
         if revision <= self.configuration.revision.max(known) {
@@ -340,7 +349,8 @@
         self.rejected_revision = Some((revision, detail));
     }
 
-    /// Publishes what a lane of this node serves.
+    /// Publishes what a scheduler of this node serves, if this node is the group's home and the
+    /// snapshots changed.
     fn publish_holdings(&mut self, holdings: GroupHoldings) {
         if self.homes.home(&holdings.group) != Some(&self.members.local_member().node) {
             return;
@@ -352,40 +362,41 @@
         self.holdings_version += 1;
         self.local_holdings.insert(holdings.group.clone(), holdings.clone());
         let peer_addresses = self.members.peers().map(|peer| peer.peer_address.clone()).collect();
-        let news = NodeHoldings {
+        let update = NodeHoldings {
             node: self.members.local_member().node.clone(),
             version: self.holdings_version,
             is_whole: false,
             groups: vec![holdings.clone()],
         };
-        self.effects.push(ControlEffect::PushHoldings { peer_addresses, holdings: news });
+        self.effects.push(ControlEffect::PushHoldings { peer_addresses, holdings: update });
         self.merge_group_holdings(holdings);
     }
 
-    /// Takes a peer's holdings in.
-    fn merge_holdings(&mut self, heard: NodeHoldings) {
-        let known = self.members.member(&heard.node).map(|member| member.holdings_version);
-        let is_next = known.is_some_and(|known| heard.version <= known + 1);
-        let is_placed =
-            heard.groups.iter().all(|holdings| self.groups.group(&holdings.group).is_some());
-        // What skips a version, or names a group of a configuration that is not here yet, leaves
-        // the pull of the next heartbeat to fill the gap.
-        if is_placed && (is_next || heard.is_whole) {
-            self.members.record_holdings_version(&heard.node, heard.version);
+    /// Merges a peer's holdings.
+    fn merge_holdings(&mut self, received: NodeHoldings) {
+        let known = self.members.member(&received.node).map(|member| member.holdings_version);
+        let is_next = known.is_some_and(|known| received.version <= known + 1);
+        let are_groups_known =
+            received.groups.iter().all(|holdings| self.groups.group(&holdings.group).is_some());
+        // Holdings that skip a version, or name a group of a configuration that this node does not
+        // have yet, are not recorded. The pull after the next heartbeat then fills the gap.
+        if are_groups_known && (is_next || received.is_whole) {
+            self.members.record_holdings_version(&received.node, received.version);
         }
         let homes = &self.homes;
-        self.holdings.merge_node(heard, |group| homes.home(group).cloned());
+        self.holdings.merge_node(received, |group| homes.home(group).cloned());
         self.effects.push(ControlEffect::PublishView);
     }
 
-    /// Takes a home's correction of one group in.
+    /// Merges a home's correction of one group's holdings.
     fn merge_group_holdings(&mut self, holdings: GroupHoldings) {
         let home = self.homes.home(&holdings.group);
         self.holdings.merge_group(holdings, home);
         self.effects.push(ControlEffect::PublishView);
     }
 
-    /// Takes the platform's VM list in: peers to try, and upstreams that are leaving.
+    /// Applies the platform's VM list: adds live VMs that are not upstreams to the seeds, and
+    /// records which VMs are leaving.
     fn apply_vm_list(&mut self, vms: &[VmEntry]) {
         let leaving: IndexSet<EcoString> = vms
             .iter()
@@ -399,10 +410,12 @@
             .map(|replica| &replica.address)
             .collect();
         let me = &self.members.local_member().peer_address;
-        let peers = vms.iter().filter(|vm| vm.state == VmState::Live);
-        let peers = peers.map(|vm| &vm.address);
-        let seeds: Vec<EcoString> =
-            peers.filter(|at| !upstreams.contains(at) && *at != me).cloned().collect();
+        let live = vms.iter().filter(|vm| vm.state == VmState::Live);
+        let addresses = live.map(|vm| &vm.address);
+        let seeds: Vec<EcoString> = addresses
+            .filter(|address| !upstreams.contains(address) && *address != me)
+            .cloned()
+            .collect();
         self.seeds.extend(seeds);
         if *self.leaving_upstreams != leaving {
             self.leaving_upstreams = Arc::new(leaving);
@@ -410,7 +423,7 @@
         }
     }
 
-    /// Announces that this node is leaving, to some peers at once.
+    /// Marks this node as leaving and tells all peers at once.
     fn shut_down(&mut self, now_us: u64) {
         if self.members.local_member().state == MemberState::Leaving {
             return;
@@ -425,7 +438,7 @@
         self.needs_publish = true;
     }
 
-    /// Puts changed members on the time line and asks for a new view.
+    /// Records member changes in the timeline and requests a new view.
     fn record_changes(&mut self, changes: impl IntoIterator<Item = MemberChange>) {
         for MemberChange { node, state } in changes {
             self.needs_publish = true;
@@ -435,20 +448,20 @@
         }
     }
 
-    /// Ranks the homes anew, everywhere or where changed members make a difference.
+    /// Ranks the homes again, for every group or only for those that changed members affect.
     fn rank_homes(&mut self) {
         let present: Vec<&Member> = if self.policy.bypasses_homes {
             vec![self.members.local_member()]
         } else {
             self.members.present().collect()
         };
-        let out = &self.configuration.domains_out;
+        let domains_out = &self.configuration.domains_out;
         let changed = std::mem::take(&mut self.changed_members);
         if std::mem::take(&mut self.needs_full_ranking) {
-            self.homes.rank_all(&self.groups, &present, out);
+            self.homes.rank_all(&self.groups, &present, domains_out);
         } else {
             for node in &changed {
-                self.homes.update_member(&self.groups, &present, out, node);
+                self.homes.update_member(&self.groups, &present, domains_out, node);
             }
         }
         let (homes, me) = (&self.homes, &self.members.local_member().node);
@@ -460,14 +473,15 @@
         self.holdings.reselect_all(is_member, homes.homes());
     }
 
-    /// Decides whether this node is one of those that watch the store for its failure domain.
+    /// Starts or stops watching the store, depending on whether this node is one of the watchers of
+    /// its failure domain.
     fn update_watch(&mut self) {
         let me = self.members.local_member();
-        let alive = self.members.present().filter(|one| one.state == MemberState::Alive);
-        let domain: Vec<&Member> =
-            alive.filter(|one| one.failure_domain == me.failure_domain).collect();
-        let mut ranked: Vec<&Member> = domain;
-        ranked.sort_unstable_by_key(|one| (one.name_hash, one.node.clone()));
+        let alive = self.members.present().filter(|member| member.state == MemberState::Alive);
+        let in_domain: Vec<&Member> =
+            alive.filter(|member| member.failure_domain == me.failure_domain).collect();
+        let mut ranked: Vec<&Member> = in_domain;
+        ranked.sort_unstable_by_key(|member| (member.name_hash, member.node.clone()));
         let is_on = ranked
             .iter()
             .take(self.policy.watchers_per_domain)
--- a/crates/sassafrasproxy-core/src/homes.rs
+++ b/crates/sassafrasproxy-core/src/homes.rs
@@ -1,4 +1,4 @@
-//! Replica groups, and which node is the home of each.
+//! Replica groups and the choice of the node that is the home of each.
 
 use std::sync::Arc;
 
@@ -9,22 +9,24 @@
 
 use crate::{Member, View};
 
-/// Replicas of one service that share shards, so that their slots must have one owner.
+/// The replicas of one service that share shards, directly or through others. Their slots must
+/// have a single owner.
 #[derive(Debug, Clone, PartialEq)]
 pub struct ReplicaGroup {
     /// The service and the group's first shard, written `service/shard`.
     pub name: EcoString,
     /// The service.
     pub service: EcoString,
-    /// Every shard that a replica of the group may hold; no other group of the service has one.
+    /// All shards that replicas of the group may hold; no other group of the service has any of
+    /// them.
     pub shards: IndexSet<EcoString>,
     /// The group's replicas; at least one.
     pub replicas: Vec<UpstreamSpec>,
-    /// What each replica bears.
+    /// The limits of each replica.
     pub limits: Limits,
     /// The hash of the name, for rendezvous scores.
     pub name_hash: u64,
-    /// The hashes of the replicas' failure domains; each once.
+    /// The hashes of the replicas' failure domains, without duplicates.
     pub domain_hashes: Vec<u64>,
 }
 
@@ -37,7 +39,7 @@
 }
 
 impl GroupTable {
-    /// Splits every service into its replica groups.
+    /// Creates the table by splitting every service into its replica groups.
     pub fn new(configuration: &Configuration) -> Self {
         let mut table = Self::default();
         for service in configuration.services.values() {
@@ -52,38 +54,39 @@
         table
     }
 
-    /// The group that a shard belongs to.
+    /// Returns the group that a shard belongs to.
     pub fn group_of(&self, shard: &ShardId) -> Option<&ReplicaGroup> {
         self.groups.get(self.group_by_shard.get(&shard.service)?.get(&shard.shard)?)
     }
 
-    /// One group by name.
+    /// Returns a group by name.
     pub fn group(&self, name: &str) -> Option<&ReplicaGroup> {
         self.groups.get(name)
     }
 
-    /// All groups.
+    /// Returns all groups.
     pub fn groups(&self) -> impl Iterator<Item = &ReplicaGroup> {
         self.groups.values()
     }
 
-    /// The groups of one service.
+    /// Returns the names of one service's groups.
     pub fn groups_of(&self, service: &str) -> IndexSet<&EcoString> {
         self.group_by_shard.get(service).into_iter().flat_map(IndexMap::values).collect()
     }
 }
 
-/// The nodes to ask for each group, best first, by rendezvous hashing.
+/// The nodes to ask for each group, ranked by rendezvous hashing, best first.
 ///
-/// Members that are alive or suspected come first, so that a suspicion alone moves nothing and a
-/// leaving node is asked only when no other is left. Then come those whose failure domain is not
-/// out, and of these the ones that share a failure domain with a replica.
+/// Members that are alive or suspected rank before leaving ones. A suspicion alone therefore moves
+/// no home, and a leaving node is asked only if no other is left. Among members of equal state,
+/// those whose failure domain is in service rank first, then those that share a failure domain with
+/// a replica, then those with the greater hash.
 #[derive(Debug, Clone, Default)]
 pub struct HomeTable {
     homes: Arc<IndexMap<EcoString, Vec<EcoString>>>,
 }
 
-/// How good a member is as a group's home; the greatest is best.
+/// The rank of a member as a group's home; the greatest is best, compared field by field.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct HomeRank {
     may_be_home: bool,
@@ -93,12 +96,12 @@
 }
 
 impl HomeTable {
-    /// The nodes to ask for each group, best first; at most [`View::RANKS`].
+    /// Returns the nodes to ask for each group, best first; at most [`View::MAX_RANKED_NODES`].
     pub fn homes(&self) -> &Arc<IndexMap<EcoString, Vec<EcoString>>> {
         &self.homes
     }
 
-    /// The home of a group.
+    /// Returns the home of a group.
     pub fn home(&self, group: &str) -> Option<&EcoString> {
         self.homes.get(group)?.first()
     }
@@ -115,10 +118,10 @@
         self.homes = Arc::new(groups.groups().map(rank).collect());
     }
 
-    /// Ranks anew only where one member that joined, changed or went makes a difference.
+    /// Ranks the members again for the groups that one joined, changed or removed member affects.
     ///
-    /// Ranking every group at every change would hold the control thread for seconds when a
-    /// whole failure domain dies, long enough for this node to be suspected itself.
+    /// Ranking every group at every change would block the control thread for seconds when a whole
+    /// failure domain crashes, long enough for others to suspect this node.
     pub fn update_member(
         &mut self,
         groups: &GroupTable,
@@ -128,7 +131,7 @@
     ) {
         let member = members.iter().find(|member| member.node == changed);
         let by_name = |node: &EcoString| members.iter().find(|member| member.node == *node);
-        let touches = |group: &ReplicaGroup, ranked: &[EcoString]| {
+        let is_affected = |group: &ReplicaGroup, ranked: &[EcoString]| {
             let Some(member) = member else { return ranked.iter().any(|node| node == changed) };
             let rank = HomeRank::new(group, member, domains_out);
             let last = ranked.last().and_then(by_name);
@@ -138,14 +141,14 @@
                 || ranked.iter().any(|node| node == changed)
         };
         let homes = &self.homes;
-        let touched: Vec<&ReplicaGroup> = groups
+        let affected: Vec<&ReplicaGroup> = groups
             .groups()
-            .filter(|group| homes.get(&group.name).is_none_or(|ranked| touches(group, ranked)))
+            .filter(|group| homes.get(&group.name).is_none_or(|ranked| is_affected(group, ranked)))
             .collect();
-        if touched.is_empty() {
+        if affected.is_empty() {
             return;
         }
-        let ranked = touched
+        let ranked = affected
             .into_iter()
             .map(|group| (group.name.clone(), best_members(group, members, domains_out)));
         let ranked: Vec<_> = ranked.collect();
@@ -165,7 +168,7 @@
     }
 }
 
-/// The best members for a group, best first; equal ranks go by name.
+/// Returns the best members for a group, best first; members of equal rank are ordered by name.
 fn best_members(
     group: &ReplicaGroup,
     members: &[&Member],
@@ -176,9 +179,9 @@
         let rank = HomeRank::new(group, member, domains_out);
         let is_before =
             |(other, at): &(HomeRank, &Member)| (*other, &member.node) > (rank, &at.node);
-        let place = best.partition_point(is_before);
-        if place < View::MAX_RANKED_NODES {
-            best.insert(place, (rank, member));
+        let index = best.partition_point(is_before);
+        if index < View::MAX_RANKED_NODES {
+            best.insert(index, (rank, member));
             best.truncate(View::MAX_RANKED_NODES);
         }
     }
@@ -190,14 +193,14 @@
     xxh3_64(name.as_bytes())
 }
 
-/// Joins replicas that share a shard, directly or through others.
+/// Splits a service into groups of replicas that share a shard, directly or through others.
 fn split_service(service: &ServiceSpec) -> Vec<ReplicaGroup> {
     let mut groups: Vec<ReplicaGroup> = Vec::new();
     for upstream in &service.upstreams {
         let shards: IndexSet<EcoString> = upstream.shards.iter().cloned().collect();
-        let (joined, apart): (Vec<_>, Vec<_>) =
+        let (overlapping, disjoint): (Vec<_>, Vec<_>) =
             groups.into_iter().partition(|group| !group.shards.is_disjoint(&shards));
-        groups = apart;
+        groups = disjoint;
         let mut merged = ReplicaGroup {
             name: EcoString::new(),
             service: service.service.clone(),
@@ -207,7 +210,7 @@
             name_hash: 0,
             domain_hashes: Vec::new(),
         };
-        for group in joined {
+        for group in overlapping {
             merged.shards.extend(group.shards);
             merged.replicas.extend(group.replicas);
         }
--- a/crates/sassafrasproxy-core/src/query.rs
+++ b/crates/sassafrasproxy-core/src/query.rs
@@ -1,4 +1,4 @@
-//! One caller's query at its entry node: plan, ask, restart, answer.
+//! One caller's query at its ingress node, from the choice of a snapshot to the answer.
 
 use std::cmp::Ordering;
 
@@ -10,72 +10,73 @@
 
 use crate::View;
 
-/// How often a query may start again on another snapshot.
+/// The maximum number of times that a query restarts on another snapshot.
 const MAX_RESTARTS: u32 = 3;
 
-/// How many nodes a sub-request may be offered to.
+/// The maximum number of requests for one shard, not counting one repeated to the same node over a
+/// new connection.
 const MAX_NODE_ATTEMPTS: u32 = 4;
 
-/// When to come back after a refusal that names no time, in milliseconds.
+/// The retry delay after a failure that gives none.
 const DEFAULT_RETRY_AFTER_MS: u64 = 200;
 
-/// What a query asks for.
+/// The parameters of a query.
 #[derive(Debug, Clone, PartialEq)]
 pub struct QuerySpec {
-    /// The services; at least one, all of one index.
+    /// The services; at least one, all of the same index.
     pub services: Vec<EcoString>,
-    /// Whether running it twice does no harm.
+    /// Whether the query may run more than once without harm.
     pub is_idempotent: bool,
-    /// The least fraction of shards that makes a useful answer, 0 to 1.
+    /// The minimum fraction of shards for a useful answer, from 0 to 1.
     pub min_coverage: f64,
-    /// When the answer is put together at the latest; before the caller's own deadline.
+    /// When the answer is built at the latest; earlier than the caller's deadline.
     pub soft_deadline_us: u64,
 }
 
-/// A snapshot and its shards.
+/// The snapshot to query and its shards.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct QueryPlan {
     /// The snapshot.
     pub snapshot: SnapshotId,
-    /// Every shard of the services in that snapshot, and whether a replica serves it.
+    /// Every shard of the services in that snapshot, and whether a replica serves the shard.
     pub shards: Vec<(ShardId, bool)>,
 }
 
-/// One ask of a shard; its number is unique in a query.
+/// Identifies one request for a shard; the number is unique within a query.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ShardRequestToken(pub u32);
 
-/// What a query takes in.
+/// An event that a query handles.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum QueryEvent {
     /// The query begins.
     Start,
-    /// A node answered an ask.
+    /// A node answered a shard request.
     Replied {
-        /// The ask.
+        /// The request.
         token: ShardRequestToken,
         /// The answer.
         outcome: SubOutcome,
     },
-    /// An ask got no answer from its node.
+    /// A shard request got no answer from its node.
     Unreachable {
-        /// The ask.
+        /// The request.
         token: ShardRequestToken,
-        /// Whether the node may have received it.
+        /// Whether the node may have received the request.
         may_have_arrived: bool,
         /// Whether the node answers over a new connection.
         is_alive: bool,
     },
-    /// The time asked for has come.
+    /// The time that [`Query::soft_deadline_us`] returned has passed.
     Timer,
 }
 
-/// What a query asks its shell to do.
+/// An effect that a query requests.
 #[derive(Debug, Clone, PartialEq)]
 pub enum QueryEffect {
-    /// Ask a node for a shard.
+    /// Request a shard from a node.
     RequestShard {
-        /// The ask.
+        /// The request.
         token: ShardRequestToken,
         /// The node.
         node: EcoString,
@@ -83,67 +84,68 @@
         shard: ShardId,
         /// The snapshot.
         snapshot: SnapshotId,
-        /// Whether the node is asked only because the home failed.
+        /// Whether the node is a fallback for the home, which failed.
         is_fallback: bool,
     },
-    /// Tell a node that nobody waits for an ask any more.
+    /// Tell a node that the answer to a request is no longer needed.
     Abandon {
-        /// The ask.
+        /// The request.
         token: ShardRequestToken,
     },
-    /// Put an event on the time line.
+    /// Record an event in the timeline.
     RecordEvent(EventKind),
-    /// Answer the caller; nothing follows.
+    /// Answer the caller; no effect follows.
     Finish(QueryEnd),
 }
 
-/// How a query ends.
+/// The end of a query.
 #[derive(Debug, Clone, PartialEq)]
 pub struct QueryEnd {
-    /// How.
+    /// The outcome.
     pub outcome: Outcome,
     /// The snapshot that the results come from, if any was chosen.
     pub snapshot: Option<SnapshotId>,
-    /// What is covered.
+    /// The covered and missing shards.
     pub coverage: Coverage,
-    /// For each covered shard, in the same order, the ask whose body is its result.
+    /// For each covered shard, in the same order, the request whose body is its result.
     pub body_tokens: Vec<ShardRequestToken>,
-    /// The reason, unless everything is covered.
+    /// The reason of the first missing shard; `None` if every shard is covered.
     pub reason: Option<Reason>,
-    /// When to come back, in milliseconds.
+    /// The retry delay; `None` if the query was answered or no shard is missing.
     pub retry_after_ms: Option<u64>,
 }
 
-/// A query that runs.
+/// A running query.
 #[derive(Debug)]
 pub struct Query {
     spec: QuerySpec,
     snapshot: Option<SnapshotId>,
     shards: Vec<ShardProgress>,
-    /// Snapshots that turned out not to be served.
+    /// Snapshots that a replica did not hold although its home had published them.
     unserved_snapshots: IndexSet<SnapshotId>,
     restarts: u32,
     next_token: u32,
-    /// Whether an ask was sent that may have run and did not answer.
+    /// Whether a request that brought no answer may have run.
     may_have_run: bool,
     is_finished: bool,
     effects: Vec<QueryEffect>,
 }
 
-/// One shard of a query that runs.
+/// The progress of one shard of a running query.
 #[derive(Debug)]
 struct ShardProgress {
     shard: ShardId,
-    /// The ask that has not ended.
+    /// The request in flight.
     open_request: Option<ShardRequestToken>,
-    /// How many nodes it was offered to.
+    /// The number of requests sent for the shard, not counting one repeated to the same node.
     node_attempts: u32,
-    /// Whether its one second ask of the same node, over a new connection, was used.
+    /// Whether the request was repeated to the same node over a new connection, which happens at
+    /// most once.
     has_reconnected: bool,
     state: ShardStatus,
 }
 
-/// How far a shard is.
+/// The status of one shard.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum ShardStatus {
     Pending,
@@ -152,7 +154,7 @@
 }
 
 impl Query {
-    /// A query that has not started.
+    /// Creates a query that has not started.
     pub fn new(spec: QuerySpec) -> Self {
         Self {
             spec,
@@ -167,7 +169,7 @@
         }
     }
 
-    /// Takes one event in and returns what to do, in order.
+    /// Handles one event and returns the effects to apply, in order.
     pub fn step(&mut self, now_us: u64, event: QueryEvent, view: &View) -> Vec<QueryEffect> {
         if self.is_finished {
             return Vec::new();
@@ -186,12 +188,13 @@
         std::mem::take(&mut self.effects)
     }
 
-    /// When the answer is put together at the latest; wants a [`QueryEvent::Timer`] then.
+    /// Returns the time at which the answer is built at the latest, and at which the query needs a
+    /// [`QueryEvent::Timer`].
     pub fn soft_deadline_us(&self) -> u64 {
         self.spec.soft_deadline_us
     }
 
-    /// Chooses a snapshot and asks for every shard of it.
+    /// Chooses a snapshot and requests every shard that is served in it.
     fn start(&mut self, view: &View) {
         let Some(plan) = QueryPlan::new(view, &self.spec.services, &self.unserved_snapshots) else {
             let shards = declared_shards(view, &self.spec.services);
@@ -216,7 +219,7 @@
         }
     }
 
-    /// Takes a node's answer.
+    /// Handles a node's answer.
     fn handle_reply(
         &mut self,
         now_us: u64,
@@ -245,11 +248,13 @@
         }
     }
 
-    /// Goes on to the next node in rank after one that did not answer.
+    /// Requests the shard from the next ranked node after one did not answer.
     ///
-    /// Guards against a home that died or is cut off while this node still ranks it first: it
-    /// shows as a lost connection. The next in rank serves at one slot for each replica, so
-    /// that both together stay within the stated overlap.
+    /// This guards against a home that has crashed or is partitioned while this node still ranks
+    /// it first, which shows as a lost connection. The next node serves with one slot per replica,
+    /// so that both nodes together stay within the stated overlap. A node that answers over a new
+    /// connection is tried once more. A request that is not idempotent and may have arrived is not
+    /// sent again.
     fn handle_unreachable(
         &mut self,
         token: ShardRequestToken,
@@ -269,13 +274,14 @@
         self.request_next_node(index, view);
     }
 
-    /// Asks the best node that this shard was not offered to yet.
+    /// Requests a shard from the next node in the group's ranking, starting again with the home
+    /// after the last one. Marks the shard as missing after [`MAX_NODE_ATTEMPTS`].
     fn request_next_node(&mut self, index: usize, view: &View) {
         let shard = &self.shards[index];
         let group = view.groups.group_of(&shard.shard);
         let ranked = group.and_then(|group| view.homes.get(&group.name));
-        let hops = shard.node_attempts as usize;
-        let next = ranked.and_then(|ranked| ranked.iter().cycle().nth(hops));
+        let attempts = shard.node_attempts as usize;
+        let next = ranked.and_then(|ranked| ranked.iter().cycle().nth(attempts));
         let (Some(node), Some(snapshot), true) =
             (next, self.snapshot, shard.node_attempts < MAX_NODE_ATTEMPTS)
         else {
@@ -303,11 +309,12 @@
         });
     }
 
-    /// Starts again on another snapshot, if one promises more than this one still can.
+    /// Restarts the query on another snapshot if that one serves more shards than the current one
+    /// still can. Returns whether it did.
     fn restart(&mut self, now_us: u64, view: &View) -> bool {
         let Some(old) = self.snapshot else { return false };
-        let is_over = self.restarts >= MAX_RESTARTS || !self.spec.is_idempotent;
-        if is_over || now_us >= self.spec.soft_deadline_us {
+        let is_restart_excluded = self.restarts >= MAX_RESTARTS || !self.spec.is_idempotent;
+        if is_restart_excluded || now_us >= self.spec.soft_deadline_us {
             return false;
         }
         self.unserved_snapshots.insert(old);
@@ -315,9 +322,10 @@
             self.unserved_snapshots.swap_remove(&old);
             return false;
         };
-        let open = self.shards.iter().filter(|shard| !shard.is_missing()).count();
-        let promised = open.saturating_sub(1) as f64 / self.shards.len().max(1) as f64;
-        if plan.fraction() <= promised {
+        let available = self.shards.iter().filter(|shard| !shard.is_missing()).count();
+        // The shard whose failure led here is not marked as missing yet.
+        let attainable = available.saturating_sub(1) as f64 / self.shards.len().max(1) as f64;
+        if plan.fraction() <= attainable {
             self.unserved_snapshots.swap_remove(&old);
             return false;
         }
@@ -329,7 +337,7 @@
         true
     }
 
-    /// Records that a shard will be missing.
+    /// Marks a shard as missing.
     fn mark_missing(
         &mut self,
         index: usize,
@@ -340,21 +348,22 @@
         self.shards[index].state = ShardStatus::Missing { reason, retry_after_ms, may_have_run };
     }
 
-    /// Takes an ask off its shard; `None` for one that was given up.
+    /// Clears a request from its shard and returns the shard's index; `None` if the request was
+    /// abandoned.
     fn take_open_request(&mut self, token: ShardRequestToken) -> Option<usize> {
         let index = self.shards.iter().position(|shard| shard.open_request == Some(token))?;
         self.shards[index].open_request = None;
         Some(index)
     }
 
-    /// Gives up on the ask of one shard.
+    /// Abandons the request in flight for one shard.
     fn abandon_request(&mut self, index: usize) {
         if let Some(token) = self.shards[index].open_request.take() {
             self.effects.push(QueryEffect::Abandon { token });
         }
     }
 
-    /// Gives up on all asks.
+    /// Abandons all requests in flight.
     fn abandon_all(&mut self) {
         for index in 0..self.shards.len() {
             self.may_have_run |= self.shards[index].open_request.is_some();
@@ -362,10 +371,10 @@
         }
     }
 
-    /// Answers the caller when nothing is open any more, or the time is over.
+    /// Answers the caller if no shard is pending or the soft deadline has passed.
     fn finish_if_done(&mut self, now_us: u64) {
-        let is_open = self.shards.iter().any(|shard| shard.state == ShardStatus::Pending);
-        if is_open && now_us < self.spec.soft_deadline_us {
+        let is_pending = self.shards.iter().any(|shard| shard.state == ShardStatus::Pending);
+        if is_pending && now_us < self.spec.soft_deadline_us {
             return;
         }
         self.is_finished = true;
@@ -383,35 +392,35 @@
         self.effects.push(QueryEffect::Finish(end));
     }
 
-    /// Puts the answer together.
+    /// Builds the query's end from the states of its shards.
     fn build_end(&self) -> QueryEnd {
         let mut coverage = Coverage::default();
-        let mut bodies = Vec::new();
-        let mut worst: Option<(Reason, u64)> = None;
+        let mut body_tokens = Vec::new();
+        let mut first_missing: Option<(Reason, u64)> = None;
         let mut may_have_run = self.may_have_run;
         for shard in &self.shards {
             match shard.state {
                 ShardStatus::Covered(token) => {
                     coverage.covered.push(shard.shard.clone());
-                    bodies.push(token);
+                    body_tokens.push(token);
                 }
                 ShardStatus::Missing { reason, retry_after_ms, may_have_run: may_have } => {
                     may_have_run |= may_have;
-                    worst = worst.or(Some((reason, retry_after_ms)));
+                    first_missing = first_missing.or(Some((reason, retry_after_ms)));
                     coverage.missing.push(MissingShard { shard: shard.shard.clone(), reason });
                 }
                 ShardStatus::Pending => {}
             }
         }
-        coverage.fraction = bodies.len() as f64 / self.shards.len().max(1) as f64;
-        let is_enough = coverage.fraction >= self.spec.min_coverage && !bodies.is_empty();
-        let outcome = match (is_enough, bodies.is_empty(), may_have_run) {
-            (true, _, _) if self.spec.is_idempotent || worst.is_none() => Outcome::Answered,
+        coverage.fraction = body_tokens.len() as f64 / self.shards.len().max(1) as f64;
+        let is_enough = coverage.fraction >= self.spec.min_coverage && !body_tokens.is_empty();
+        let outcome = match (is_enough, body_tokens.is_empty(), may_have_run) {
+            (true, _, _) if self.spec.is_idempotent || first_missing.is_none() => Outcome::Answered,
             (_, true, false) => Outcome::NotRun,
             (_, true, true) => Outcome::Unknown,
             (_, false, _) => Outcome::Partial,
         };
-        let (reason, retry_after_ms) = match worst {
+        let (reason, retry_after_ms) = match first_missing {
             Some((reason, retry_after_ms)) => (Some(reason), Some(retry_after_ms)),
             None => (None, None),
         };
@@ -419,7 +428,7 @@
             outcome,
             snapshot: self.snapshot,
             coverage,
-            body_tokens: bodies,
+            body_tokens,
             reason,
             retry_after_ms: retry_after_ms.filter(|_| outcome != Outcome::Answered),
         }
@@ -437,23 +446,28 @@
 }
 
 impl ShardStatus {
-    /// A shard that was never asked for.
+    /// Returns the status of a missing shard that was never requested.
     fn missing(reason: Reason) -> Self {
         Self::Missing { reason, retry_after_ms: DEFAULT_RETRY_AFTER_MS, may_have_run: false }
     }
 }
 
 impl QueryPlan {
-    /// Chooses the newest snapshot that serves every shard, or else the one that serves most.
+    /// Chooses the snapshot with the largest fraction of served shards, and the newest of equal
+    /// ones.
     ///
-    /// Returns `None` when no snapshot of the services is known, those in `gone` excluded.
-    pub fn new(view: &View, services: &[EcoString], gone: &IndexSet<SnapshotId>) -> Option<Self> {
+    /// Returns `None` if no snapshot of the services is known except those in `excluded`.
+    pub fn new(
+        view: &View,
+        services: &[EcoString],
+        excluded: &IndexSet<SnapshotId>,
+    ) -> Option<Self> {
         let mut candidates: IndexSet<SnapshotId> = IndexSet::new();
         for group in services.iter().flat_map(|service| view.groups.groups_of(service)) {
             let Some(holdings) = view.holdings.get(group) else { continue };
             candidates.extend(holdings.snapshots.iter().map(|held| held.id));
         }
-        candidates.retain(|snapshot| !gone.contains(snapshot));
+        candidates.retain(|snapshot| !excluded.contains(snapshot));
         let plans =
             candidates.into_iter().map(|snapshot| Self::at_snapshot(view, services, snapshot));
         plans.max_by(|a, b| {
@@ -462,13 +476,13 @@
         })
     }
 
-    /// The fraction of shards that are served.
+    /// Returns the fraction of shards that are served.
     pub fn fraction(&self) -> f64 {
         let served = self.shards.iter().filter(|(_, is_served)| *is_served).count();
         served as f64 / self.shards.len().max(1) as f64
     }
 
-    /// The shards of one snapshot.
+    /// Returns the plan for one snapshot.
     fn at_snapshot(view: &View, services: &[EcoString], snapshot: SnapshotId) -> Self {
         let shards =
             services.iter().flat_map(|service| shards_at(view, service, snapshot)).collect();
@@ -476,7 +490,8 @@
     }
 }
 
-/// The shards of one service in one snapshot; the declared ones if its layout is not known.
+/// Returns the shards of one service in one snapshot and whether each is served; if the snapshot's
+/// layout is not known, the declared shards as not served.
 fn shards_at(view: &View, service: &EcoString, snapshot: SnapshotId) -> Vec<(ShardId, bool)> {
     let mut layout: IndexSet<&EcoString> = IndexSet::new();
     let mut servable: IndexSet<&EcoString> = IndexSet::new();
@@ -496,7 +511,8 @@
     layout.iter().map(|name| (shard(name), servable.contains(*name))).collect()
 }
 
-/// The shards that the newest known layout of each service names, or else its file.
+/// Returns the shards in the newest known layout of each service, or without one those in its
+/// configuration.
 fn declared_shards(view: &View, services: &[EcoString]) -> Vec<ShardId> {
     let mut shards = Vec::new();
     for service in services {
--- a/crates/sassafrasproxy-core/src/view.rs
+++ b/crates/sassafrasproxy-core/src/view.rs
@@ -1,4 +1,4 @@
-//! What traffic threads see of the control state.
+//! The view of the control state that traffic threads use.
 
 use std::sync::Arc;
 
@@ -8,43 +8,45 @@
 
 use crate::{GroupTable, Member, hash_name};
 
-/// An immutable picture of the control state, replaced as a whole when anything changes.
+/// An immutable snapshot of the control state, replaced as a whole when anything changes.
 #[derive(Debug, Clone, Default)]
 pub struct View {
     /// This node's name.
     pub local_node: EcoString,
-    /// Whether this node shuts down.
+    /// Whether this node is shutting down.
     pub leaving: bool,
-    /// The configuration in force; revision 0 before the first.
+    /// The active configuration; has revision 0 until the first is received.
     pub configuration: Arc<Configuration>,
     /// The configuration's replica groups.
     pub groups: Arc<GroupTable>,
-    /// All members that are not dead, this node included, by name.
+    /// All members that are not dead, including this node, by name.
     pub members: Arc<IndexMap<EcoString, Member>>,
-    /// The nodes to ask for each group, best first; at most [`View::RANKS`].
+    /// The nodes to ask for each group, best first; at most [`View::MAX_RANKED_NODES`].
     pub homes: Arc<IndexMap<EcoString, Vec<EcoString>>>,
-    /// What each group can serve, as its home published it.
+    /// The holdings of each group, as published by its home.
     pub holdings: Arc<IndexMap<EcoString, GroupHoldings>>,
-    /// Upstream addresses that the platform's VM list says are leaving.
+    /// The addresses of VMs that are leaving according to the platform's VM list.
     pub leaving_upstreams: Arc<IndexSet<EcoString>>,
 }
 
 impl View {
-    /// How many nodes of each group's ranking are kept: the home and two to fall back to.
+    /// The number of ranked nodes kept for each group: the home and two fallback nodes.
     pub const MAX_RANKED_NODES: usize = 3;
 
-    /// The home of a group.
+    /// Returns the home of a group.
     pub fn home(&self, group: &str) -> Option<&EcoString> {
         self.homes.get(group)?.first()
     }
 
-    /// The home of a bucket of claims: one of the members that may be homes.
+    /// Returns the home of a claim bucket.
+    ///
+    /// Members that may be homes are preferred, then those whose failure domain is in service.
     pub fn claim_bucket_home(&self, bucket: u32) -> Option<&EcoString> {
-        let out = &self.configuration.domains_out;
+        let domains_out = &self.configuration.domains_out;
         let score = |member: &&Member| {
-            let is_in = !out.contains(&member.failure_domain);
+            let is_domain_available = !domains_out.contains(&member.failure_domain);
             let hash = hash_name(&eco_format!("claims/{bucket}/{}", member.node));
-            (member.may_be_home(), is_in, hash)
+            (member.may_be_home(), is_domain_available, hash)
         };
         self.members.values().max_by_key(score).map(|member| &member.node)
     }
