--- a/crates/sassafrasproxy-core/tests/cluster/mod.rs
+++ b/crates/sassafrasproxy-core/tests/cluster/mod.rs
@@ -1,4 +1,4 @@
-//! Control reducers that talk over a fake network in virtual time.
+//! A cluster of control reducers over a simulated network in virtual time.
 
 #![allow(dead_code, clippy::unwrap_used, reason = "each test file uses its part")]
 
@@ -11,13 +11,13 @@
 
 pub const MS: u64 = 1_000;
 
-/// How long a message takes.
+/// The latency of a message.
 const LATENCY_US: u64 = 2 * MS;
 
-/// How long a probe waits for its answer.
+/// The time after which a probe without an answer fails.
 const PROBE_TIMEOUT_US: u64 = 400 * MS;
 
-/// Something that is due at a node.
+/// An event that is scheduled for a node.
 #[derive(Debug, Clone)]
 enum ScheduledEvent {
     Tick { node: usize },
@@ -27,15 +27,15 @@
     Configuration { to: usize, configuration: Configuration },
 }
 
-/// Nodes with a network between them that can be cut, and nodes that can be stopped or paused.
+/// Nodes that can be stopped, restarted or paused, and a network that can be partitioned.
 pub struct Cluster {
     pub now_us: u64,
     pub policy: ControlPolicy,
     pub nodes: Vec<ControlPlane>,
     pub is_up: Vec<bool>,
-    /// Pairs that cannot talk, both ways.
+    /// Pairs of nodes that cannot reach each other; contains both directions.
     pub blocked_links: IndexSet<(usize, usize)>,
-    /// When each node took each revision.
+    /// The revisions that each node adopted, with the time of each.
     pub revision_history: Vec<Vec<(u64, u64)>>,
     pub store: Configuration,
     pub is_store_up: bool,
@@ -48,7 +48,7 @@
 }
 
 impl Cluster {
-    /// Nodes that all know the first as their seed, over a number of failure domains.
+    /// Starts nodes that have the first node as their seed, distributed over failure domains.
     pub fn start(count: usize, domains: usize, policy: ControlPolicy) -> Self {
         let mut cluster = Self {
             now_us: 0,
@@ -72,6 +72,7 @@
         cluster
     }
 
+    /// Starts a node, or replaces one of the same number.
     pub fn join(&mut self, number: usize, domains: usize) {
         let me = MemberUpdate {
             node: node_name(number),
@@ -92,13 +93,13 @@
             self.is_up.push(true);
             self.revision_history.push(Vec::new());
             self.watching.push(false);
-            // Ticks are spread, as those of processes that start at their own times are.
+            // Processes start at different times, so their ticks are spread.
             let offset_us = number as u64 * 7_919 % self.policy.heartbeat_interval_us;
             self.schedule(offset_us, ScheduledEvent::Tick { node: number });
         }
     }
 
-    /// Lets time pass.
+    /// Advances the time and handles the events that are due.
     pub fn advance(&mut self, us: u64) {
         let end_us = self.now_us + us;
         while let Some(entry) = self.scheduled.first_entry() {
@@ -106,20 +107,20 @@
                 break;
             }
             self.now_us = entry.key().0;
-            let due = entry.remove();
-            self.handle(due);
+            let event = entry.remove();
+            self.handle(event);
         }
         self.now_us = end_us;
     }
 
-    /// Publishes services or failure domains as the next revision.
+    /// Changes the store's configuration and publishes it as the next revision.
     pub fn publish(&mut self, change: impl FnOnce(&mut Configuration)) {
         change(&mut self.store);
         self.store.revision += 1;
         self.notify_watchers();
     }
 
-    /// Cuts two sets of nodes off from each other.
+    /// Blocks the links between two sets of nodes.
     pub fn partition(&mut self, left: &[usize], right: &[usize]) {
         for a in left {
             self.blocked_links.extend(right.iter().flat_map(|b| [(*a, *b), (*b, *a)]));
@@ -130,13 +131,13 @@
         self.nodes[node].view()
     }
 
-    /// How many members a node counts that are neither dead nor suspected.
+    /// Returns the number of members that are alive in a node's view.
     pub fn alive_seen_by(&self, node: usize) -> usize {
         let members = self.nodes[node].members();
         members.present().filter(|member| member.state == MemberState::Alive).count()
     }
 
-    /// The state of a member in a node's view.
+    /// Returns the state of a member in a node's view.
     pub fn state_seen_by(&self, node: usize, member: usize) -> Option<MemberState> {
         self.nodes[node].members().member(&node_name(member)).map(|member| member.state)
     }
@@ -155,8 +156,8 @@
         }
     }
 
-    fn handle(&mut self, due: ScheduledEvent) {
-        match due {
+    fn handle(&mut self, event: ScheduledEvent) {
+        match event {
             ScheduledEvent::Tick { node } => {
                 self.schedule(
                     self.now_us + self.policy.heartbeat_interval_us,
@@ -167,8 +168,8 @@
             ScheduledEvent::Probe { from, to, heartbeat, sent_us, is_indirect } => {
                 if !self.can_reach(from, to) {
                     let at_us = sent_us + PROBE_TIMEOUT_US;
-                    let due = ScheduledEvent::Failed { to: from, peer: to, sent_us, is_indirect };
-                    return self.schedule(at_us, due);
+                    let event = ScheduledEvent::Failed { to: from, peer: to, sent_us, is_indirect };
+                    return self.schedule(at_us, event);
                 }
                 let answer = self.nodes[to].heartbeat(Hlc::default(), Some(&heartbeat));
                 self.step(to, ControlEvent::HeartbeatReceived(heartbeat));
@@ -210,9 +211,9 @@
             ControlEffect::Probe { peer_address } => {
                 self.probe(node, node_index(&peer_address), false);
             }
-            ControlEffect::ProbeIndirectly { via_peer_addresses: vias, peer_address } => {
+            ControlEffect::ProbeIndirectly { via_peer_addresses, peer_address } => {
                 let to = node_index(&peer_address);
-                let vias: Vec<usize> = vias.iter().map(node_index).collect();
+                let vias: Vec<usize> = via_peer_addresses.iter().map(node_index).collect();
                 let via = vias
                     .into_iter()
                     .find(|via| self.can_reach(node, *via) && self.can_reach(*via, to));
@@ -221,9 +222,9 @@
                     None => {
                         let (sent_us, at_us) = (self.now_us, self.now_us + PROBE_TIMEOUT_US);
                         let is_indirect = true;
-                        let due =
+                        let event =
                             ScheduledEvent::Failed { to: node, peer: to, sent_us, is_indirect };
-                        self.schedule(at_us, due);
+                        self.schedule(at_us, event);
                     }
                 }
             }
@@ -267,8 +268,8 @@
         let heartbeat = self.nodes[from].heartbeat(Hlc::default(), None);
         self.record_message(&heartbeat);
         let sent_us = self.now_us;
-        let due = ScheduledEvent::Probe { from, to, heartbeat, sent_us, is_indirect };
-        self.schedule(self.now_us + LATENCY_US, due);
+        let event = ScheduledEvent::Probe { from, to, heartbeat, sent_us, is_indirect };
+        self.schedule(self.now_us + LATENCY_US, event);
     }
 
     fn record_message(&mut self, heartbeat: &Heartbeat) {
@@ -281,13 +282,13 @@
         is_known && self.is_up[a] && self.is_up[b] && !self.blocked_links.contains(&(a, b))
     }
 
-    fn schedule(&mut self, at_us: u64, due: ScheduledEvent) {
+    fn schedule(&mut self, at_us: u64, event: ScheduledEvent) {
         self.sequence += 1;
-        self.scheduled.insert((at_us, self.sequence), due);
+        self.scheduled.insert((at_us, self.sequence), event);
     }
 }
 
-/// A configuration with one service of a number of groups, two replicas each.
+/// Returns a number of services that have one group with two replicas each.
 pub fn services(groups: usize, domains: usize) -> IndexMap<EcoString, ServiceSpec> {
     let service = |number: usize| {
         let upstream = |replica: usize| UpstreamSpec {
--- a/crates/sassafrasproxy-core/tests/configuration_propagation.rs
+++ b/crates/sassafrasproxy-core/tests/configuration_propagation.rs
@@ -1,4 +1,4 @@
-//! Configurations and homes over many nodes.
+//! The spread of configurations, homes and holdings over many nodes.
 
 #![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 
@@ -10,7 +10,7 @@
 use sassafrasproxy_core::{ControlEffect, ControlEvent, ControlPolicy, HomeTable, Member};
 use sassafrasproxy_wire::{GroupHoldings, Hlc, NodeHoldings, SnapshotHolding};
 
-/// How long until every node that is up has the store's revision, in milliseconds.
+/// Returns how long it takes until every node that is up has the store's revision, in milliseconds.
 fn convergence_ms(cluster: &mut Cluster, limit_ms: u64) -> u64 {
     let start_us = cluster.now_us;
     while cluster.now_us < start_us + limit_ms * MS {
@@ -37,8 +37,9 @@
     }
 }
 
-// At the planned size a configuration must be in force everywhere within 8 s, and the store must
-// not be read by every node. `IN_FORCE_NODES=1000`, with `--release`, runs that size.
+// Guards against a configuration that takes more than 8 s to be active on all nodes at the planned
+// size, and against a read of the store by every node. `IN_FORCE_NODES=1000` with `--release` runs
+// the planned size.
 #[test]
 fn large_cluster() {
     let count = std::env::var("IN_FORCE_NODES").map_or(120, |count| count.parse().unwrap());
@@ -60,7 +61,8 @@
     assert!(cluster.store_reads <= 2 * 18, "{} reads", cluster.store_reads);
 }
 
-// Operators take a failure domain out: in every view its nodes are no homes any more.
+// Guards against homes in a failure domain that operators have taken out of service. No view may
+// have one of the domain's nodes as a home.
 #[test]
 fn domain_out() {
     let mut cluster = Cluster::start(8, 4, ControlPolicy::default());
@@ -78,7 +80,8 @@
     }
 }
 
-// The store is down when a VM is replaced. The fresh one must boot from its peers.
+// Guards against a node that can't start while the store is unavailable. A VM is replaced, and the
+// new one must get the configuration from its peers.
 #[test]
 fn join_without_store() {
     let mut cluster = Cluster::start(8, 4, ControlPolicy::default());
@@ -91,8 +94,9 @@
     assert!(convergence_ms(&mut cluster, 5_000) < 5_000);
 }
 
-// A slow read of the store, or a peer that lags, brings an old configuration after a newer one.
-// Taking it would bring a failure domain back that operators took out.
+// Guards against an old configuration that arrives after a newer one, by a slow read of the store
+// or from a lagging peer. Adopting it would bring back a failure domain that operators have taken
+// out of service.
 #[test]
 fn old_revision() {
     let mut cluster = Cluster::start(2, 2, ControlPolicy::default());
@@ -108,6 +112,7 @@
     assert_eq!(cluster.nodes[0].revision(), 2);
 }
 
+// Guards against an invalid configuration that replaces the active one or is reported repeatedly.
 #[test]
 fn rejected_revision() {
     let mut cluster = Cluster::start(1, 1, ControlPolicy::default());
@@ -120,9 +125,9 @@
     assert_eq!((node.revision(), node.rejected_revision().map(|one| one.0)), (1, Some(2)));
 }
 
-// A node starts and hears what a home serves before it has the configuration. Users would get
-// answers without that home's shards for good: the node drops what it cannot place, and must
-// not take the version for known, but ask for it again.
+// Guards against answers that permanently lack a home's shards. A node that has just started
+// receives a home's holdings before it has the configuration, and drops those of unknown groups. It
+// must not record their version, but pull them again.
 #[test]
 fn holdings_before_configuration() {
     let mut cluster = Cluster::start(2, 2, ControlPolicy::default());
@@ -157,9 +162,9 @@
     assert_eq!(node.view().holdings.len(), 1);
 }
 
-// A node starts alone and takes itself for the home of a group that it knows nothing of yet. A
-// moment later it finds the true home, whose word is older. Users of this node would get answers
-// without that group's shards for good if the latest word counted.
+// Guards against answers that permanently lack a group's shards. A node that knows no other member
+// yet acts as the home of a group and publishes empty holdings. They are later than those of the
+// true home, but must not replace them.
 #[test]
 fn short_lived_home() {
     let mut cluster = Cluster::start(8, 4, ControlPolicy::default());
@@ -188,8 +193,8 @@
     assert_eq!(node.view().holdings[group].snapshots, held);
 }
 
-// Nodes that are cut off from their domain's watchers and hear late must never go back: the
-// cluster asserts that at every step while revisions race through it.
+// Guards against nodes that return to an older revision. Revisions follow each other quickly, and
+// partitioned nodes receive them late. The cluster asserts at every step that no revision reverts.
 #[test]
 fn many_revisions() {
     let mut cluster = Cluster::start(8, 4, ControlPolicy::default());
@@ -213,8 +218,8 @@
     }
 }
 
-// Homes are ranked anew only where a change makes a difference. A node that left one group out
-// would send its queries to a home that all others have moved away from.
+// Guards against a group that the incremental ranking leaves out. Homes are ranked again only for
+// groups that a change affects, and a node that misses one would send queries to its former home.
 #[test]
 fn incremental_ranking() {
     let mut cluster = Cluster::start(12, 4, ControlPolicy::default());
@@ -230,13 +235,14 @@
         cluster.advance(700 * MS);
         let view = cluster.view(0);
         let members: Vec<&Member> = view.members.values().collect();
-        let mut whole = HomeTable::default();
-        whole.rank_all(&view.groups, &members, &view.configuration.domains_out);
-        assert_eq!(view.homes, *whole.homes(), "round {round}");
+        let mut full_ranking = HomeTable::default();
+        full_ranking.rank_all(&view.groups, &members, &view.configuration.domains_out);
+        assert_eq!(view.homes, *full_ranking.homes(), "round {round}");
     }
 }
 
-// A fresh node joins: only the groups that it is now the home of move, about one in nine.
+// Guards against homes that move without need. When a ninth node joins, only groups of which it
+// becomes the home may move, which is about one in nine.
 #[test]
 fn minimal_home_moves() {
     let mut cluster = Cluster::start(8, 1, ControlPolicy::default());
--- a/crates/sassafrasproxy-core/tests/membership.rs
+++ b/crates/sassafrasproxy-core/tests/membership.rs
@@ -1,4 +1,4 @@
-//! Who is a member, in every node's view.
+//! The members in every node's view after joins, crashes, pauses and partitions.
 
 mod cluster;
 
@@ -22,7 +22,8 @@
     start_cluster();
 }
 
-// A VM fails. Its groups need a new home within seconds, in every node's view.
+// Guards against a crash that a node does not detect. The crashed VM's groups need a new home
+// within seconds in every node's view.
 #[test]
 fn crash_detected() {
     let mut cluster = start_cluster();
@@ -34,8 +35,8 @@
     }
 }
 
-// A VM is paused for less than a suspicion lasts. Its groups would move twice if it were given
-// up at once; it must refute and stay.
+// Guards against homes that move twice because of a short pause. A VM is paused for less than the
+// suspicion timeout, and must refute the suspicion before it is marked as dead.
 #[test]
 fn short_pause() {
     let mut cluster = start_cluster();
@@ -50,6 +51,8 @@
     assert!((0..NODES).all(|node| cluster.alive_seen_by(node) == NODES));
 }
 
+// Guards against a node that stays dead in others' tables. It is paused until it is marked as dead,
+// and must refute that after it resumes.
 #[test]
 fn long_pause() {
     let mut cluster = start_cluster();
@@ -63,8 +66,8 @@
     }
 }
 
-// One path between two nodes is lost. Both are well and reach all others, so neither may be
-// even suspected; the indirect probes must clear them.
+// Guards against a suspicion that one broken link causes. Two nodes can't reach each other, but
+// both reach all others, so the indirect probes must succeed.
 #[test]
 fn one_broken_link() {
     let mut cluster = start_cluster();
@@ -77,7 +80,8 @@
     }
 }
 
-// Regions lose each other for a while and find each other again, without an operator.
+// Guards against a partition that does not heal without an operator. Two halves of the cluster are
+// separated until each has marked the other as dead, and must merge again once the links work.
 #[test]
 fn partition_heals() {
     let mut cluster = start_cluster();
@@ -91,6 +95,7 @@
     }
 }
 
+// Guards against a leaving node that stays a home. Every view must move its groups to other nodes.
 #[test]
 fn graceful_leave() {
     let mut cluster = start_cluster();
@@ -105,8 +110,8 @@
     }
 }
 
-// A VM is replaced by one of the same name. What others remember of the old one must not keep
-// the new one out.
+// Guards against a new VM that can't join because it has the name of a dead one. Other nodes still
+// keep the dead member's entry.
 #[test]
 fn replaced_node_same_name() {
     let mut cluster = start_cluster();
--- a/crates/sassafrasproxy-core/tests/request_claims.rs
+++ b/crates/sassafrasproxy-core/tests/request_claims.rs
@@ -1,7 +1,7 @@
-//! Claims of request keys, at any nodes and whatever the store does.
+//! Claims of request keys on several nodes, while calls to the store fail or are delayed.
 //!
-//! The seed stands in `.cargo/config.toml`; `PROPTEST_RNG_SEED` and `PROPTEST_CASES` in the
-//! environment widen the search.
+//! The seed is set in `.cargo/config.toml`. Other values of `PROPTEST_RNG_SEED` and
+//! `PROPTEST_CASES` in the environment widen the search.
 
 #![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 
@@ -18,25 +18,26 @@
 const MS: u64 = 1_000;
 const EPOCH_MS: u64 = 10_000;
 
-/// What the store does wrong with one call.
+/// The fault of one store call.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Fault {
     None,
-    /// No effect, and it fails.
+    /// The call has no effect and fails.
     Lost,
-    /// It takes effect, and its answer is lost.
+    /// The call takes effect, but its answer is lost.
     LostAnswer,
-    /// It fails, and takes effect when the next call of that node comes.
+    /// The call fails, but takes effect when the node's next call ends.
     Delayed,
 }
 
-/// One node's bucket, with its clock's error.
+/// A node with its claim bucket.
 struct Node {
     bucket: ClaimBucket,
-    /// The call that runs, until a turn ends it.
+    /// The call in flight, until an action ends it.
     call: Option<StoreCall>,
-    /// A write that was given up and takes effect late.
+    /// A call that was reported as failed and takes effect late.
     delayed: Option<StoreCall>,
+    /// How far the node's wall clock is ahead.
     skew_ms: u64,
     restarts: u32,
 }
@@ -45,48 +46,48 @@
     now_ms: u64,
     store: BTreeMap<EcoString, EcoString>,
     nodes: Vec<Node>,
-    /// Each ticket's node, token and key.
+    /// The token and key of each claim that awaits an answer, by node and claim id.
     pending_claims: IndexMap<(usize, ClaimId), (EcoString, EcoString)>,
     answers: IndexMap<EcoString, ClaimAnswer>,
-    /// For each key, the tokens that were granted and whether each is known not to have run.
+    /// For each key, the granted tokens and whether each is known not to have run.
     grants: IndexMap<EcoString, IndexMap<EcoString, bool>>,
-    next_ticket: u64,
+    next_claim_number: u64,
     writes: u64,
 }
 
 impl Simulation {
     fn new(count: usize) -> Self {
-        let mut world = Self {
+        let mut simulation = Self {
             now_ms: EPOCH_MS * 100 + 1_000,
             store: BTreeMap::new(),
             nodes: Vec::new(),
             pending_claims: IndexMap::new(),
             answers: IndexMap::new(),
             grants: IndexMap::new(),
-            next_ticket: 0,
+            next_claim_number: 0,
             writes: 0,
         };
         for node in 0..count {
-            // The second node's clock is ahead, so that epochs turn at different times.
+            // The clocks differ, so that the nodes change epochs at different times.
             let skew_ms = node as u64 * 700;
-            let bucket = new_bucket(node, 0, world.now_ms + skew_ms);
-            world.nodes.push(Node { bucket, call: None, delayed: None, skew_ms, restarts: 0 });
+            let bucket = new_bucket(node, 0, simulation.now_ms + skew_ms);
+            simulation.nodes.push(Node { bucket, call: None, delayed: None, skew_ms, restarts: 0 });
         }
-        world
+        simulation
     }
 
     fn step(&mut self, node: usize, event: ClaimEvent) {
         let now_us = self.now_ms * MS;
-        let one = &mut self.nodes[node];
-        for effect in one.bucket.step(now_us, self.now_ms + one.skew_ms, event) {
+        let state = &mut self.nodes[node];
+        for effect in state.bucket.step(now_us, self.now_ms + state.skew_ms, event) {
             match effect {
                 ClaimEffect::Call(call) => {
                     let old = self.nodes[node].call.replace(call);
                     assert_eq!(old, None, "one call at a time");
                 }
-                ClaimEffect::Answer { claim_id: ticket, answer } => {
+                ClaimEffect::Answer { claim_id, answer } => {
                     let (token, key) =
-                        self.pending_claims.swap_remove(&(node, ticket)).expect("answered once");
+                        self.pending_claims.swap_remove(&(node, claim_id)).expect("answered once");
                     if answer == ClaimAnswer::Granted {
                         self.grant(&key, token.clone());
                     }
@@ -99,7 +100,7 @@
         }
     }
 
-    /// Notes a grant; the key must be free.
+    /// Records a grant; the key must be free.
     fn grant(&mut self, key: &EcoString, token: EcoString) {
         let grants = self.grants.entry(key.clone()).or_default();
         let running = grants.values().filter(|is_free| !**is_free).count();
@@ -108,12 +109,12 @@
     }
 
     fn claim(&mut self, node: usize, key: &str, fingerprint: u64) -> EcoString {
-        self.next_ticket += 1;
-        let ticket = ClaimId(self.next_ticket);
-        let token = eco_format!("token-{}", self.next_ticket);
-        self.pending_claims.insert((node, ticket), (token.clone(), key.into()));
+        self.next_claim_number += 1;
+        let claim_id = ClaimId(self.next_claim_number);
+        let token = eco_format!("token-{}", self.next_claim_number);
+        self.pending_claims.insert((node, claim_id), (token.clone(), key.into()));
         let request = ClaimRequest { key: key.into(), token: token.clone(), fingerprint };
-        self.step(node, ClaimEvent::Claim { claim_id: ticket, request });
+        self.step(node, ClaimEvent::Claim { claim_id, request });
         token
     }
 
@@ -125,7 +126,7 @@
         self.step(node, ClaimEvent::RecordEnding(request));
     }
 
-    /// Ends the call that a node waits for.
+    /// Ends a node's call in flight.
     fn end_call(&mut self, node: usize, fault: Fault) {
         if let Some(delayed) = self.nodes[node].delayed.take() {
             self.apply_call(&delayed);
@@ -165,20 +166,20 @@
         }
     }
 
-    /// Kills a node; a write on its way may still take effect, now.
-    fn kill(&mut self, node: usize, write_lands: bool) {
-        let one = &mut self.nodes[node];
-        one.restarts += 1;
-        let (lives, wall_ms) = (one.restarts, self.now_ms + one.skew_ms);
-        one.bucket = new_bucket(node, lives, wall_ms);
-        let call = one.call.take();
-        if let Some(call) = call.filter(|_| write_lands) {
+    /// Restarts a node with a new bucket; its call in flight may still take effect.
+    fn kill(&mut self, node: usize, write_applied: bool) {
+        let state = &mut self.nodes[node];
+        state.restarts += 1;
+        let (restarts, wall_ms) = (state.restarts, self.now_ms + state.skew_ms);
+        state.bucket = new_bucket(node, restarts, wall_ms);
+        let call = state.call.take();
+        if let Some(call) = call.filter(|_| write_applied) {
             self.apply_call(&call);
         }
         self.pending_claims.retain(|(at, _), _| *at != node);
     }
 
-    /// Lets every call end well until nothing waits.
+    /// Lets calls succeed for long enough that no claim is pending.
     fn settle(&mut self) {
         for _ in 0..30 {
             self.now_ms += 60;
@@ -190,94 +191,95 @@
     }
 }
 
-fn new_bucket(node: usize, lives: u32, wall_ms: u64) -> ClaimBucket {
+fn new_bucket(node: usize, restarts: u32, wall_ms: u64) -> ClaimBucket {
     let policy = ClaimPolicy { epoch_ms: EPOCH_MS, ..ClaimPolicy::default() };
-    ClaimBucket::new(3, eco_format!("life-{node}-{lives}"), policy, wall_ms)
+    ClaimBucket::new(3, eco_format!("instance-{node}-{restarts}"), policy, wall_ms)
 }
 
 #[test]
 fn one_grant_per_key() {
-    let mut world = Simulation::new(2);
-    let first = world.claim(0, "order-1", 1);
-    let second = world.claim(1, "order-1", 1);
-    world.settle();
-    let answers = [&world.answers[&first], &world.answers[&second]];
+    let mut simulation = Simulation::new(2);
+    let first = simulation.claim(0, "order-1", 1);
+    let second = simulation.claim(1, "order-1", 1);
+    simulation.settle();
+    let answers = [&simulation.answers[&first], &simulation.answers[&second]];
     let granted = answers.iter().filter(|answer| ***answer == ClaimAnswer::Granted).count();
     assert_eq!(granted, 1, "{answers:?}");
 }
 
 #[test]
 fn repeat_gets_recorded_answer() {
-    let mut world = Simulation::new(2);
-    let token = world.claim(0, "order-1", 1);
-    world.settle();
+    let mut simulation = Simulation::new(2);
+    let token = simulation.claim(0, "order-1", 1);
+    simulation.settle();
     let text = Some("printed".into());
-    world.record(0, "order-1", &token, Ending::Answered { text: text.clone() });
-    world.settle();
-    let repeat = world.claim(1, "order-1", 1);
-    world.settle();
+    simulation.record(0, "order-1", &token, Ending::Answered { text: text.clone() });
+    simulation.settle();
+    let repeat = simulation.claim(1, "order-1", 1);
+    simulation.settle();
     let ending = Some(Ending::Answered { text });
-    assert_eq!(world.answers[&repeat], ClaimAnswer::Held { fingerprint: 1, ending });
+    assert_eq!(simulation.answers[&repeat], ClaimAnswer::Held { fingerprint: 1, ending });
 }
 
 #[test]
 fn key_free_after_not_run() {
-    let mut world = Simulation::new(2);
-    let token = world.claim(0, "order-1", 1);
-    world.settle();
-    world.record(0, "order-1", &token, Ending::NotRun);
-    world.settle();
-    let repeat = world.claim(1, "order-1", 1);
-    world.settle();
-    assert_eq!(world.answers[&repeat], ClaimAnswer::Granted);
+    let mut simulation = Simulation::new(2);
+    let token = simulation.claim(0, "order-1", 1);
+    simulation.settle();
+    simulation.record(0, "order-1", &token, Ending::NotRun);
+    simulation.settle();
+    let repeat = simulation.claim(1, "order-1", 1);
+    simulation.settle();
+    assert_eq!(simulation.answers[&repeat], ClaimAnswer::Granted);
 }
 
-// The store is away. Whoever orders must hear at once that nothing ran, not wait.
+// Guards against claims that wait while the store is unavailable. The caller must be told at once
+// that nothing ran, and a later claim of the same key must be granted.
 #[test]
 fn store_unavailable() {
-    let mut world = Simulation::new(1);
-    let token = world.claim(0, "order-1", 1);
-    world.end_call(0, Fault::Lost);
-    assert_eq!(world.answers[&token], ClaimAnswer::Unavailable);
-    let token = world.claim(0, "order-2", 1);
-    assert_eq!(world.answers[&token], ClaimAnswer::Unavailable);
-    world.settle();
-    let token = world.claim(0, "order-1", 1);
-    world.settle();
-    assert_eq!(world.answers[&token], ClaimAnswer::Granted);
+    let mut simulation = Simulation::new(1);
+    let token = simulation.claim(0, "order-1", 1);
+    simulation.end_call(0, Fault::Lost);
+    assert_eq!(simulation.answers[&token], ClaimAnswer::Unavailable);
+    let token = simulation.claim(0, "order-2", 1);
+    assert_eq!(simulation.answers[&token], ClaimAnswer::Unavailable);
+    simulation.settle();
+    let token = simulation.claim(0, "order-1", 1);
+    simulation.settle();
+    assert_eq!(simulation.answers[&token], ClaimAnswer::Granted);
 }
 
 #[test]
 fn claims_share_one_write() {
-    let mut world = Simulation::new(1);
-    world.claim(0, "warm-up", 1);
-    world.settle();
-    let before = world.writes;
-    world.claim(0, "order-0", 1);
-    let tokens: Vec<_> = (1..100).map(|n| world.claim(0, &format!("order-{n}"), 1)).collect();
-    world.settle();
-    assert!(tokens.iter().all(|token| world.answers[token] == ClaimAnswer::Granted));
-    assert_eq!(world.writes - before, 2, "the first, and all that came while it ran");
+    let mut simulation = Simulation::new(1);
+    simulation.claim(0, "warm-up", 1);
+    simulation.settle();
+    let before = simulation.writes;
+    simulation.claim(0, "order-0", 1);
+    let tokens: Vec<_> = (1..100).map(|n| simulation.claim(0, &format!("order-{n}"), 1)).collect();
+    simulation.settle();
+    assert!(tokens.iter().all(|token| simulation.answers[token] == ClaimAnswer::Granted));
+    assert_eq!(simulation.writes - before, 2, "the first, and all that came while it ran");
 }
 
-// Clocks of two nodes differ at the turn of an epoch. A key that was claimed just before it on
-// one must not be granted again by the other, which is already in the next epoch.
+// Guards against two grants of one key when an epoch changes. The clocks of two nodes differ, so
+// one node claims the key in the old epoch and the other in the next.
 #[test]
 fn epoch_change() {
-    let mut world = Simulation::new(2);
-    world.claim(0, "order-0", 1);
-    world.claim(1, "order-0", 1);
-    world.settle();
-    world.now_ms = (world.now_ms / EPOCH_MS + 1) * EPOCH_MS - 300;
-    let late = world.claim(0, "order-1", 1);
-    let early = world.claim(1, "order-1", 1);
-    world.settle();
-    let answers = [&world.answers[&late], &world.answers[&early]];
+    let mut simulation = Simulation::new(2);
+    simulation.claim(0, "order-0", 1);
+    simulation.claim(1, "order-0", 1);
+    simulation.settle();
+    simulation.now_ms = (simulation.now_ms / EPOCH_MS + 1) * EPOCH_MS - 300;
+    let late = simulation.claim(0, "order-1", 1);
+    let early = simulation.claim(1, "order-1", 1);
+    simulation.settle();
+    let answers = [&simulation.answers[&late], &simulation.answers[&early]];
     let granted = answers.iter().filter(|answer| ***answer == ClaimAnswer::Granted).count();
     assert_eq!(granted, 1, "{answers:?}");
 }
 
-/// One thing that happens.
+/// One action on the simulation.
 #[derive(Debug, Clone)]
 enum Action {
     Claim { node: usize, key: u8 },
@@ -307,48 +309,48 @@
         2 => (node.clone(), key, ending)
             .prop_map(|(node, key, ending)| Action::Record { node, key, ending }),
         1 => (node, any::<bool>())
-            .prop_map(|(node, write_lands)| Action::Kill { node, write_applied: write_lands }),
+            .prop_map(|(node, write_applied)| Action::Kill { node, write_applied }),
         6 => prop_oneof![4 => 1..100_u64, 1 => 1_000..4_000_u64].prop_map(|ms| Action::Advance { ms }),
     ]
 }
 
-// Three nodes each believe to be the bucket's home. Callers send the same few orders again and
-// again through all of them, while nodes are killed, answers of the store are lost or come late,
-// and epochs turn. No order may be granted to a second run while the first may have run. Runs
-// are kept within the two epochs for which a key is kept.
+// Guards against a second grant of a key while the first request may have run. Three nodes each
+// act as the bucket's home, and the same few keys are claimed repeatedly on all of them. Meanwhile
+// nodes restart, store calls fail, lose their answers or take effect late, and epochs change. The
+// simulated time stays within the two epochs for which a key is kept.
 proptest! {
     #[test]
-    fn conflicting_views(turns in prop::collection::vec(any_action(), 1..150)) {
-        let mut world = Simulation::new(3);
-        let start_ms = world.now_ms;
+    fn conflicting_views(actions in prop::collection::vec(any_action(), 1..150)) {
+        let mut simulation = Simulation::new(3);
+        let start_ms = simulation.now_ms;
         let mut keys: IndexSet<EcoString> = IndexSet::new();
-        for turn in turns {
-            match turn {
+        for action in actions {
+            match action {
                 Action::Claim { node, key } => {
                     let key = eco_format!("order-{key}");
                     keys.insert(key.clone());
-                    world.claim(node, &key, 1);
+                    simulation.claim(node, &key, 1);
                 }
-                Action::EndCall { node, fault } => world.end_call(node, fault),
+                Action::EndCall { node, fault } => simulation.end_call(node, fault),
                 Action::Record { node, key, ending } => {
                     let key = eco_format!("order-{key}");
-                    let running = world.grants.get(&key).and_then(|grants| {
+                    let running = simulation.grants.get(&key).and_then(|grants| {
                         grants.iter().find(|(_, is_free)| !**is_free).map(|(token, _)| token)
                     });
                     if let Some(token) = running.cloned() {
-                        world.record(node, &key, &token, ending);
+                        simulation.record(node, &key, &token, ending);
                     }
                 }
-                Action::Kill { node, write_applied } => world.kill(node, write_applied),
+                Action::Kill { node, write_applied } => simulation.kill(node, write_applied),
                 Action::Advance { ms } => {
-                    world.now_ms = (world.now_ms + ms).min(start_ms + EPOCH_MS);
+                    simulation.now_ms = (simulation.now_ms + ms).min(start_ms + EPOCH_MS);
                     for node in 0..3 {
-                        world.step(node, ClaimEvent::Timer);
+                        simulation.step(node, ClaimEvent::Timer);
                     }
                 }
             }
         }
-        world.settle();
-        prop_assert!(world.pending_claims.is_empty(), "every claim is answered");
+        simulation.settle();
+        prop_assert!(simulation.pending_claims.is_empty(), "every claim is answered");
     }
 }
--- a/crates/sassafrasproxy-core/tests/snapshot_choice.rs
+++ b/crates/sassafrasproxy-core/tests/snapshot_choice.rs
@@ -1,4 +1,4 @@
-//! Which snapshot a query pins, and what it says it covers.
+//! The snapshot that a query chooses, and the coverage and outcome that it reports.
 
 #![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 
@@ -15,17 +15,17 @@
     SubOutcome, UpstreamSpec,
 };
 
-/// What a test says of one group: its snapshots with layout and servable shards.
+/// The holdings of one group: snapshots with their layout and servable shards.
 type HoldingsCase = &'static [(u64, &'static [&'static str], &'static [&'static str])];
 
-/// What a case is about, the services, and the snapshot and fraction of the plan.
+/// The name of a case, its services, and the expected snapshot and fraction of the plan.
 type PlanCase = (&'static str, &'static [(&'static str, HoldingsCase)], u64, f64);
 
 fn names(names: &[&str]) -> Vec<EcoString> {
     names.iter().map(|name| (*name).into()).collect()
 }
 
-/// A view with one service for each entry, whose one group is `service/s0`.
+/// Returns a view with one service per entry, each with a single group named `service/s0`.
 fn view(services: &[(&str, HoldingsCase)]) -> View {
     let mut configuration = Configuration { revision: 1, ..Configuration::default() };
     let mut holdings = IndexMap::new();
@@ -72,8 +72,8 @@
 }
 
 fn plan_for(services: &[(&'static str, HoldingsCase)]) -> Option<QueryPlan> {
-    let asked: Vec<EcoString> = services.iter().map(|(service, _)| (*service).into()).collect();
-    QueryPlan::new(&view(services), &asked, &IndexSet::new())
+    let names: Vec<EcoString> = services.iter().map(|(service, _)| (*service).into()).collect();
+    QueryPlan::new(&view(services), &names, &IndexSet::new())
 }
 
 #[test]
@@ -124,7 +124,7 @@
     assert_eq!(plan_for(&[("a", &[])]), None, "nothing known");
 }
 
-/// Runs a query whose asks are answered by a function of shard and snapshot.
+/// Runs a query whose shard requests are answered by a function of shard and snapshot.
 fn run_query(
     view: &View,
     services: &[&str],
@@ -159,8 +159,8 @@
 const BOTH_SNAPSHOTS_SERVED: HoldingsCase =
     &[(7, &["s0", "s1"], &["s0", "s1"]), (8, &["s0", "s1"], &["s0", "s1"])];
 
-// Index versions change under queries. A replica drops snapshot 8 after the query pinned it; a
-// user must get one snapshot's whole answer, never a mix of two.
+// Guards against an answer that mixes two snapshots. A replica drops snapshot 8 after the query has
+// chosen it, so the query restarts on snapshot 7 and must return all shards of that one.
 #[test]
 fn restart_on_older_snapshot() {
     let view = view(&[("a", BOTH_SNAPSHOTS_SERVED)]);
@@ -172,6 +172,8 @@
     assert_eq!(end.coverage.fraction, 1.0);
 }
 
+// Guards against a query that fails as a whole when one shard is not held in any snapshot. The
+// shard must be reported as missing.
 #[test]
 fn no_alternative_snapshot() {
     let view = view(&[("a", BOTH_SNAPSHOTS_SERVED)]);
@@ -205,8 +207,8 @@
     }
 }
 
-// The home of a shard dies while it runs a reorder. Asking the next node would print the order
-// twice; a search may be asked again.
+// Guards against a non-idempotent request that runs twice. The home of a shard crashes while a
+// request may be running there. Only an idempotent request may be sent to the next node.
 #[test]
 fn home_unreachable() {
     for (is_idempotent, expected) in [(false, Outcome::Unknown), (true, Outcome::Answered)] {
@@ -234,8 +236,8 @@
     }
 }
 
-// A caller's deadline comes while a shard is open. The answer must go out before it, with that
-// shard named as missing.
+// Guards against an answer that misses the caller's deadline because a shard is pending. The answer
+// must be sent at the soft deadline and report that shard as missing.
 #[test]
 fn soft_deadline() {
     let view = view(&[("a", &[(7, &["s0", "s1"], &["s0", "s1"])])]);
