--- a/crates/sassafrasproxy-core/src/claims/mod.rs
+++ b/crates/sassafrasproxy-core/src/claims/mod.rs
@@ -362,8 +362,10 @@
         }
     }
 
-    /// Marks the batch of a failed write for a check, or refuses all waiting claims and backs off
-    /// while the store is unavailable.
+    /// Handles a failed store call.
+    ///
+    /// Marks the batch of a failed write as unconfirmed. After a failed read or repeated failed
+    /// writes, refuses all waiting claims and makes no store call for the retry delay.
     fn handle_failure(&mut self, now_us: u64, call: &StoreCall) {
         self.consecutive_failures += 1;
         if matches!(call, StoreCall::Write { .. }) {
--- a/crates/sassafrasproxy-core/src/control/mod.rs
+++ b/crates/sassafrasproxy-core/src/control/mod.rs
@@ -378,8 +378,8 @@
         let is_next = known.is_some_and(|known| received.version <= known + 1);
         let are_groups_known =
             received.groups.iter().all(|holdings| self.groups.group(&holdings.group).is_some());
-        // Holdings that skip a version, or name a group of a configuration that this node does not
-        // have yet, are not recorded. The pull after the next heartbeat then fills the gap.
+        // The version is not recorded if versions in between are missing, or if a group is not in
+        // this node's configuration yet. The pull after the next heartbeat then fills the gap.
         if are_groups_known && (is_next || received.is_whole) {
             self.members.record_holdings_version(&received.node, received.version);
         }
--- a/crates/sassafrasproxy-core/src/homes.rs
+++ b/crates/sassafrasproxy-core/src/homes.rs
@@ -78,9 +78,9 @@
 /// The nodes to ask for each group, ranked by rendezvous hashing, best first.
 ///
 /// Members that are alive or suspected rank before leaving ones. A suspicion alone therefore moves
-/// no home, and a leaving node is asked only if no other is left. Among members of equal state,
-/// those whose failure domain is in service rank first, then those that share a failure domain with
-/// a replica, then those with the greater hash.
+/// no home, and a leaving node is asked only if no other is left. Within each of the two sets,
+/// members whose failure domain is in service rank first, then those that share a failure domain
+/// with a replica, then those with the greater hash.
 #[derive(Debug, Clone, Default)]
 pub struct HomeTable {
     homes: Arc<IndexMap<EcoString, Vec<EcoString>>>,
