--- a/crates/sassafrasproxy-core/src/claims/mod.rs
+++ b/crates/sassafrasproxy-core/src/claims/mod.rs
@@ -231,7 +231,7 @@
     /// Returns when the queued records may be written. Endings without a claim are delayed so that
     /// they can share a write with one.
     fn write_due_us(&self) -> u64 {
-        let has_claim = self.pending.iter().any(|one| one.claim_id.is_some());
+        let has_claim = self.pending.iter().any(|pending| pending.claim_id.is_some());
         let ending_at_us =
             self.oldest_ending_us.map_or(0, |since| since + self.policy.ending_delay_us);
         let wait_us = if has_claim || self.batch.is_some() { 0 } else { ending_at_us };
@@ -380,9 +380,12 @@
         let batch = self.batch.iter_mut().flat_map(|batch| &mut batch.claim_ids);
         let refused: Vec<ClaimId> = batch.filter_map(Option::take).collect();
         let (claims, endings): (Vec<PendingRecord>, Vec<PendingRecord>) =
-            std::mem::take(&mut self.pending).into_iter().partition(|one| one.claim_id.is_some());
+            std::mem::take(&mut self.pending)
+                .into_iter()
+                .partition(|pending| pending.claim_id.is_some());
         self.pending = endings;
-        for claim_id in refused.into_iter().chain(claims.into_iter().filter_map(|one| one.claim_id))
+        for claim_id in
+            refused.into_iter().chain(claims.into_iter().filter_map(|pending| pending.claim_id))
         {
             let answer = ClaimAnswer::Unavailable;
             self.effects.push(ClaimEffect::Answer { claim_id, answer });
--- a/crates/sassafrasproxy-core/src/control/members.rs
+++ b/crates/sassafrasproxy-core/src/control/members.rs
@@ -149,10 +149,10 @@
 
 impl MemberTable {
     /// Creates a table that contains only this node.
-    pub fn new(me: &MemberUpdate, now_us: u64) -> Self {
-        let members = [(me.node.clone(), Member::new(me, now_us))].into_iter().collect();
+    pub fn new(local: &MemberUpdate, now_us: u64) -> Self {
+        let members = [(local.node.clone(), Member::new(local, now_us))].into_iter().collect();
         let mut table = Self {
-            local_node: me.node.clone(),
+            local_node: local.node.clone(),
             members,
             pending_updates: IndexMap::new(),
             probe_round: Vec::new(),
@@ -160,7 +160,7 @@
             sync_cursor: 0,
             members_hash: 0,
         };
-        table.queue_update(&me.node);
+        table.queue_update(&local.node);
         table
     }
 
@@ -305,12 +305,12 @@
 
     /// Marks this node as leaving and queues the update.
     pub fn leave(&mut self, now_us: u64) {
-        let me = self.local_node.clone();
-        if let Some(member) = self.members.get_mut(&me) {
+        let local_node = self.local_node.clone();
+        if let Some(member) = self.members.get_mut(&local_node) {
             member.state = MemberState::Leaving;
             member.state_since_us = now_us;
         }
-        self.queue_update(&me);
+        self.queue_update(&local_node);
     }
 
     /// Returns the next member to probe: each member once per round, in random order.
@@ -391,14 +391,14 @@
     /// A node that was paused or partitioned may be believed dead by others. It learns this from
     /// the next heartbeat, and its raised incarnation overrides the wrong state in all tables.
     fn refute(&mut self, update: &MemberUpdate) -> Option<MemberChange> {
-        let me = self.local_node.clone();
-        let member = self.members.get_mut(&me)?;
+        let local_node = self.local_node.clone();
+        let member = self.members.get_mut(&local_node)?;
         let is_wrong = (update.incarnation, update.state) > (member.incarnation, member.state);
         if !is_wrong {
             return None;
         }
         member.incarnation = update.incarnation + 1;
-        self.queue_update(&me);
+        self.queue_update(&local_node);
         None
     }
 
--- a/crates/sassafrasproxy-core/src/control/mod.rs
+++ b/crates/sassafrasproxy-core/src/control/mod.rs
@@ -65,7 +65,7 @@
 impl ControlPlane {
     /// Creates the control state of a node that has just started.
     pub fn new(
-        me: &MemberUpdate,
+        local: &MemberUpdate,
         seeds: impl IntoIterator<Item = EcoString>,
         policy: ControlPolicy,
         seed: u64,
@@ -74,7 +74,7 @@
         let mut control = Self {
             policy,
             rng: StdRng::seed_from_u64(seed),
-            members: MemberTable::new(me, now_us),
+            members: MemberTable::new(local, now_us),
             seeds: seeds.into_iter().collect(),
             configuration: Arc::default(),
             rejected_revision: None,
@@ -95,7 +95,7 @@
             changed_members: IndexSet::new(),
             effects: Vec::new(),
         };
-        control.seeds.swap_remove(&me.peer_address);
+        control.seeds.swap_remove(&local.peer_address);
         control
     }
 
@@ -157,11 +157,11 @@
 
     /// Returns the view for the traffic threads.
     pub fn view(&self) -> View {
-        let me = self.members.local_member();
+        let local = self.members.local_member();
         let present = self.members.present();
         View {
-            local_node: me.node.clone(),
-            leaving: me.state == MemberState::Leaving,
+            local_node: local.node.clone(),
+            leaving: local.state == MemberState::Leaving,
             configuration: self.configuration.clone(),
             groups: self.groups.clone(),
             members: Arc::new(
@@ -409,11 +409,11 @@
             .flat_map(|group| &group.replicas)
             .map(|replica| &replica.address)
             .collect();
-        let me = &self.members.local_member().peer_address;
+        let local_address = &self.members.local_member().peer_address;
         let live = vms.iter().filter(|vm| vm.state == VmState::Live);
         let addresses = live.map(|vm| &vm.address);
         let seeds: Vec<EcoString> = addresses
-            .filter(|address| !upstreams.contains(address) && *address != me)
+            .filter(|address| !upstreams.contains(address) && *address != local_address)
             .cloned()
             .collect();
         self.seeds.extend(seeds);
@@ -464,8 +464,8 @@
                 self.homes.update_member(&self.groups, &present, domains_out, node);
             }
         }
-        let (homes, me) = (&self.homes, &self.members.local_member().node);
-        self.local_holdings.retain(|group, _| homes.home(group) == Some(me));
+        let (homes, local_node) = (&self.homes, &self.members.local_member().node);
+        self.local_holdings.retain(|group, _| homes.home(group) == Some(local_node));
         let members = &self.members;
         let is_member = |node: &str| {
             members.member(node).is_some_and(|member| member.state != MemberState::Dead)
@@ -476,16 +476,16 @@
     /// Starts or stops watching the store, depending on whether this node is one of the watchers of
     /// its failure domain.
     fn update_watch(&mut self) {
-        let me = self.members.local_member();
+        let local = self.members.local_member();
         let alive = self.members.present().filter(|member| member.state == MemberState::Alive);
         let in_domain: Vec<&Member> =
-            alive.filter(|member| member.failure_domain == me.failure_domain).collect();
+            alive.filter(|member| member.failure_domain == local.failure_domain).collect();
         let mut ranked: Vec<&Member> = in_domain;
         ranked.sort_unstable_by_key(|member| (member.name_hash, member.node.clone()));
         let is_on = ranked
             .iter()
             .take(self.policy.watchers_per_domain)
-            .any(|member| member.node == me.node);
+            .any(|member| member.node == local.node);
         if is_on != self.is_watching {
             self.is_watching = is_on;
             self.effects.push(ControlEffect::WatchStore { is_on });
--- a/crates/sassafrasproxy-core/tests/cluster/mod.rs
+++ b/crates/sassafrasproxy-core/tests/cluster/mod.rs
@@ -74,7 +74,7 @@
 
     /// Starts a node, or replaces one of the same number.
     pub fn join(&mut self, number: usize, domains: usize) {
-        let me = MemberUpdate {
+        let local = MemberUpdate {
             node: node_name(number),
             peer_address: address(number),
             address: eco_format!("10.1.{}.{}:7001", number / 250, number % 250),
@@ -84,7 +84,8 @@
             state: MemberState::Alive,
             incarnation: 1_000 + self.now_us / MS,
         };
-        let control = ControlPlane::new(&me, [address(0)], self.policy, number as u64, self.now_us);
+        let control =
+            ControlPlane::new(&local, [address(0)], self.policy, number as u64, self.now_us);
         if number < self.nodes.len() {
             self.nodes[number] = control;
             self.is_up[number] = true;
--- a/crates/sassafrasproxy-core/tests/configuration_propagation.rs
+++ b/crates/sassafrasproxy-core/tests/configuration_propagation.rs
@@ -22,7 +22,7 @@
             return (cluster.now_us - start_us) / MS;
         }
     }
-    panic!("not in force everywhere after {limit_ms} ms");
+    panic!("the revision is not active on all nodes after {limit_ms} ms");
 }
 
 #[test]
@@ -57,7 +57,7 @@
     let took_ms = convergence_ms(&mut cluster, 8_000);
     let messages = cluster.messages - before.0;
     println!("{messages} heartbeats, {} bytes", cluster.bytes - before.1);
-    println!("in force after {took_ms} ms, {} reads of the store", cluster.store_reads);
+    println!("active on all nodes after {took_ms} ms, {} reads of the store", cluster.store_reads);
     assert!(cluster.store_reads <= 2 * 18, "{} reads", cluster.store_reads);
 }
 
