--- a/crates/sassafrasproxy-gateway/src/gather.rs
+++ b/crates/sassafrasproxy-gateway/src/gather.rs
@@ -1,4 +1,4 @@
-//! Serving a query that all shards of an index answer together.
+//! Serves a query over all shards of an index and merges their parts.
 
 use std::rc::Rc;
 use std::sync::Arc;
@@ -23,20 +23,20 @@
 use crate::traffic::TrafficState;
 use crate::upstream::{SendSpec, SendTasks, UpstreamResult, start_send};
 
-/// From how many parts of one failure domain on a relay there is asked for them.
+/// The minimum number of parts in another failure domain for which a relay is called.
 ///
-/// One part alone would cost the relay's time and save nothing.
+/// Relaying a single part costs the relay's time and saves nothing.
 const MIN_RELAYED_PARTS: usize = 2;
 
-/// Records that came together: one part, or the merged parts of a relay's reply.
+/// Records that arrived together: one part, or the merged parts of a relay reply.
 #[derive(Debug)]
 struct RecordBatch {
-    /// The shards that the records are of, each with its signature.
+    /// The shards that the records come from, each with the stamp of its replica.
     stamps: Vec<(usize, EcoString)>,
     records: Bytes,
 }
 
-/// One shard of the query.
+/// A shard of the query with the progress of its fetch.
 #[derive(Debug)]
 struct Shard {
     fetch: Fetch,
@@ -46,12 +46,12 @@
 #[derive(Debug)]
 enum ShardState {
     Pending,
-    /// The part is in the unit with this number.
+    /// The part is in the batch with this index.
     Received(usize),
     Missing(FetchFailureReason),
 }
 
-/// A query under way.
+/// A query in progress.
 struct GatherQuery<'a> {
     traffic: &'a Rc<TrafficState>,
     request: Rc<CallerRequest>,
@@ -59,30 +59,30 @@
     fetch_plan: FetchPlan,
     plan: GatherPlan,
     shards: Vec<Shard>,
-    /// Every shard that is in belongs to one unit, and a merged unit to all of its shards.
+    /// Every received shard belongs to one batch, and a merged batch to all of its shards.
     batches: Vec<RecordBatch>,
     sends: SendTasks,
     events: mpsc::UnboundedSender<GatherEvent>,
-    /// First sends, held back until all shards have been looked at.
+    /// First sends, deferred until the shards are advanced, to group them by failure domain.
     deferred: Vec<DeferredSend>,
     top_k: usize,
 }
 
-/// Something that ended.
+/// An event of a send or a relay call of the query.
 #[derive(Debug)]
 enum GatherEvent {
-    /// A send of this node's own.
+    /// A send that this node made for a shard has ended.
     SendFinished(usize, UpstreamResult),
-    /// Parts that a relay asked for.
+    /// A relay call has reported the results of some of its sends.
     RelayReplied {
-        /// How each shard's send ended.
+        /// The result of each shard's send.
         parts: Vec<RelayPartResult>,
-        /// The records of the answered parts, merged.
+        /// The merged records of the answered parts.
         records: Bytes,
     },
 }
 
-/// A send to a replica that this node or another one makes.
+/// A first send to a replica, to be made by this node or by a relay.
 #[derive(Debug)]
 struct DeferredSend {
     shard: usize,
@@ -90,7 +90,7 @@
     send_id: SendId,
 }
 
-/// Serves a query by all shards of its route.
+/// Serves a query with parts from the shards of its route.
 pub async fn serve(
     traffic: &Rc<TrafficState>,
     request: Rc<CallerRequest>,
@@ -104,10 +104,10 @@
             QueryAdmission::Refused(refusal) => return refusal,
         }
     }
-    let left_out = choose_excluded_shards(traffic, &request, route, target);
-    let (ends, mut ended) = mpsc::unbounded_channel();
-    let mut gathering = GatherQuery::new(traffic, request, route, target, ends);
-    gathering.exclude_shards(left_out);
+    let excluded = choose_excluded_shards(traffic, &request, route, target);
+    let (event_sender, mut events) = mpsc::unbounded_channel();
+    let mut gathering = GatherQuery::new(traffic, request, route, target, event_sender);
+    gathering.exclude_shards(excluded);
     let mut wake_us = gathering.advance_all_shards();
     loop {
         let now_us = traffic.clock.now_us();
@@ -117,16 +117,16 @@
             GatherStep::Wait { until_us } => wake_us = wake_us.min(until_us),
         }
         let wait = Duration::from_micros(wake_us.saturating_sub(now_us));
-        match timeout(wait, ended.recv()).await {
-            Ok(Some(GatherEvent::SendFinished(shard, end))) => {
-                gathering.handle_send_result(shard, end);
+        match timeout(wait, events.recv()).await {
+            Ok(Some(GatherEvent::SendFinished(shard, result))) => {
+                gathering.handle_send_result(shard, result);
                 wake_us = wake_us.min(gathering.advance_shard(shard));
                 gathering.send_deferred();
             }
             Ok(Some(GatherEvent::RelayReplied { parts, records })) => {
                 let shards = gathering.handle_relay_reply(parts, records);
-                let wakes = shards.into_iter().map(|shard| gathering.advance_shard(shard));
-                wake_us = wakes.min().unwrap_or(u64::MAX).min(wake_us);
+                let wake_times = shards.into_iter().map(|shard| gathering.advance_shard(shard));
+                wake_us = wake_times.min().unwrap_or(u64::MAX).min(wake_us);
                 gathering.send_deferred();
             }
             Ok(None) | Err(_) => wake_us = gathering.advance_all_shards(),
@@ -134,14 +134,14 @@
     }
 }
 
-/// Whether a query is served.
+/// Whether a query is admitted.
 enum QueryAdmission {
     Now,
     Wait { until_us: u64 },
     Refused(Answer),
 }
 
-/// Refuses a query for which too few shards can be asked soon, before any replica works on it.
+/// Refuses a query before any replica works on it if too few shards can be asked soon.
 fn admit_query(
     traffic: &TrafficState,
     request: &CallerRequest,
@@ -157,15 +157,18 @@
         Admission::Wait { until_us } => return QueryAdmission::Wait { until_us },
         Admission::Refuse => {}
     }
-    let usual_us = traffic.fetch_plan(route).expected_us;
-    let retry_after_ms = retry_delay_ms(soonest_us, usual_us, &request.attempt_id);
+    let expected_us = traffic.fetch_plan(route).expected_us;
+    let retry_after_ms = retry_delay_ms(soonest_us, expected_us, &request.attempt_id);
     let request = &request.attempt_id;
-    let away = usable_in_us.iter().filter(|time| **time != Some(0)).count();
-    log::info!(request:%, away, retry_after_ms; "too few shards can be asked");
+    let unusable = usable_in_us.iter().filter(|time| **time != Some(0)).count();
+    log::info!(
+        request:%, away = unusable, retry_after_ms;
+        "refused a query: too few shards are usable soon"
+    );
     QueryAdmission::Refused(refusal_answer(&traffic.metrics, Refusal::NotRun, Some(retry_after_ms)))
 }
 
-/// In how long each shard has a replica that may get work, in microseconds.
+/// Returns the time until each service has a usable replica, in microseconds.
 fn usable_times_us<'a>(
     traffic: &TrafficState,
     services: impl Iterator<Item = &'a EcoString>,
@@ -175,7 +178,9 @@
     services.map(|service| pool.usable_in_us(service, now_us)).collect()
 }
 
-/// The shards that a query leaves out, as other queries need their slow replicas more.
+/// Returns the shards to exclude, so that their slow replicas serve queries that need them more.
+///
+/// If the query needs slow replicas itself, it reserves those of the shards that have them.
 fn choose_excluded_shards(
     traffic: &TrafficState,
     request: &CallerRequest,
@@ -187,13 +192,13 @@
     let min_parts = GatherPlan::min_parts(target.services.len(), target.min_coverage);
     let mut pool = traffic.pool.borrow_mut();
     let services = target.services.iter();
-    let prospects: Vec<Option<ServiceForecast>> =
+    let forecasts: Vec<Option<ServiceForecast>> =
         services.map(|service| pool.forecast(service, now_us, expected_us)).collect();
-    let asks = select_shards(&prospects, min_parts);
-    for shard in asks.reserved {
+    let selection = select_shards(&forecasts, min_parts);
+    for shard in selection.reserved {
         pool.reserve_replicas(&target.services[shard], now_us);
     }
-    asks.skipped
+    selection.skipped
 }
 
 impl<'a> GatherQuery<'a> {
@@ -204,7 +209,7 @@
         target: &GatherTarget,
         events: mpsc::UnboundedSender<GatherEvent>,
     ) -> Self {
-        let way_us = traffic.caller_delays.borrow().round_trip_us();
+        let caller_round_trip_us = traffic.caller_delays.borrow().round_trip_us();
         let shards = target.services.len();
         let goal_us = route.goal_ms * US_PER_MS;
         let plan = GatherPlan {
@@ -213,7 +218,7 @@
             soft_deadline_us: GatherPlan::soft_deadline_us(
                 request.started_us(),
                 goal_us,
-                way_us,
+                caller_round_trip_us,
                 shards,
             ),
             end_us: request.answer_deadline_us(route),
@@ -247,22 +252,25 @@
     }
 
     fn next_step(&self, now_us: u64) -> GatherStep {
-        let count = |is: fn(&ShardState) -> bool| {
-            self.shards.iter().filter(|shard| is(&shard.state)).count()
+        let count = |predicate: fn(&ShardState) -> bool| {
+            self.shards.iter().filter(|shard| predicate(&shard.state)).count()
         };
         let parts = count(|state| matches!(state, ShardState::Received(_)));
         let pending = count(|state| matches!(state, ShardState::Pending));
         next_gather_step(now_us, &self.plan, parts, pending)
     }
 
-    /// Takes the next step of every shard; returns when one wants another look.
+    /// Advances every shard, then makes the deferred sends.
+    ///
+    /// Returns the time at which to advance the first of them again, in microseconds.
     fn advance_all_shards(&mut self) -> u64 {
         let wake_us = (0..self.shards.len()).map(|shard| self.advance_shard(shard)).min();
         self.send_deferred();
         wake_us.unwrap_or(u64::MAX)
     }
 
-    /// Takes the next steps of one shard; returns when it wants another look.
+    /// Advances the fetch of one shard; returns the time at which to advance it again, in
+    /// microseconds, or `u64::MAX` for no time.
     fn advance_shard(&mut self, at: usize) -> u64 {
         loop {
             let shard = &mut self.shards[at];
@@ -280,7 +288,7 @@
                 FetchStep::Send { replica, send, cause } => {
                     self.traffic.count_send(cause);
                     let request = &self.request.attempt_id;
-                    log::debug!(request:%, replica:%, cause:?; "a send starts");
+                    log::debug!(request:%, replica:%, cause:?; "starting a send to a replica");
                     self.start_or_defer_send(at, &replica, send, cause);
                 }
                 FetchStep::Wait { until_us } => return until_us.unwrap_or(u64::MAX),
@@ -291,46 +299,47 @@
         }
     }
 
-    /// Sends to a replica, or holds a first send back.
+    /// Sends a hedge or retry directly, and defers a first send.
     fn start_or_defer_send(
         &mut self,
         shard: usize,
         replica: &EcoString,
-        send: SendId,
+        send_id: SendId,
         cause: SendCause,
     ) {
         let entry = self.traffic.pool.borrow().entry(replica).cloned();
         let Some(replica) = entry else { return };
-        let held = DeferredSend { shard, replica, send_id: send };
+        let send = DeferredSend { shard, replica, send_id };
         match cause {
-            SendCause::First => self.deferred.push(held),
-            SendCause::Hedge | SendCause::Retry => self.send_directly(held),
+            SendCause::First => self.deferred.push(send),
+            SendCause::Hedge | SendCause::Retry => self.send_directly(send),
         }
     }
 
-    fn send_directly(&mut self, held: DeferredSend) {
+    /// Sends to a replica from this node.
+    fn send_directly(&mut self, send: DeferredSend) {
         let spec = SendSpec {
             request: self.request.clone(),
             route: self.route.name.clone(),
-            replica: held.replica,
-            send_id: held.send_id,
+            replica: send.replica,
+            send_id: send.send_id,
             deadline_us: self.plan.end_us,
             is_fan_out: true,
             is_idempotent: true,
         };
-        let (ends, shard) = (self.events.clone(), held.shard);
-        let tell = move |end| {
-            // The query may have been answered without this send.
-            let _ = ends.send(GatherEvent::SendFinished(shard, end));
+        let (events, shard) = (self.events.clone(), send.shard);
+        let on_result = move |result| {
+            // The send fails if the query was answered without this result.
+            let _ = events.send(GatherEvent::SendFinished(shard, result));
         };
-        self.sends.push(start_send(self.traffic, spec, tell));
+        self.sends.push(start_send(self.traffic, spec, on_result));
     }
 
-    /// Sends what was held back, each failure domain's by nodes there as far as that helps.
+    /// Makes the deferred sends, by nodes in the failure domain of the replicas where that helps.
     fn send_deferred(&mut self) {
         let mut by_domain: IndexMap<EcoString, Vec<DeferredSend>> = IndexMap::new();
-        for held in std::mem::take(&mut self.deferred) {
-            by_domain.entry(held.replica.failure_domain.clone()).or_default().push(held);
+        for send in std::mem::take(&mut self.deferred) {
+            by_domain.entry(send.replica.failure_domain.clone()).or_default().push(send);
         }
         for (domain, sends) in by_domain {
             let is_own = domain == self.traffic.settings().failure_domain;
@@ -342,22 +351,25 @@
         }
     }
 
-    /// Sends to replicas of this node's failure domain, by other nodes there what is too much for it.
+    /// Sends to replicas in this node's own failure domain, sharing the work with other nodes
+    /// there if it is too much for this node.
     fn send_in_own_domain(&mut self, domain: &EcoString, mut sends: Vec<DeferredSend>) {
         let nodes = 1 + self.traffic.relays.relay_count(domain);
         let cpu_millis = self.traffic.relays.largest_cpu_millis(domain);
         let shares = distribute_parts(sends.len(), nodes, cpu_millis);
         let (own, others) = shares.split_at(1);
         let rest = sends.split_off(own[0]);
-        // Other nodes first: they work while this one sends.
+        // The relay calls come first, so that the relays work while this node sends its share.
         self.send_through_relays(domain, rest, others);
-        sends.into_iter().for_each(|held| self.send_directly(held));
+        sends.into_iter().for_each(|send| self.send_directly(send));
     }
 
-    /// Sends to replicas of another failure domain, by relays there.
+    /// Sends to replicas in another failure domain through relays there.
+    ///
+    /// Fewer than [`MIN_RELAYED_PARTS`] sends go directly.
     fn send_to_remote_domain(&mut self, domain: &EcoString, sends: Vec<DeferredSend>) {
         if sends.len() < MIN_RELAYED_PARTS {
-            return sends.into_iter().for_each(|held| self.send_directly(held));
+            return sends.into_iter().for_each(|send| self.send_directly(send));
         }
         let relays = &self.traffic.relays;
         let shares = distribute_parts(
@@ -368,7 +380,7 @@
         self.send_through_relays(domain, sends, &shares);
     }
 
-    /// Sends by one relay for each share; what no relay can be asked for goes directly.
+    /// Sends each share through a relay of its own; sends that no relay takes go directly.
     fn send_through_relays(
         &mut self,
         domain: &EcoString,
@@ -380,10 +392,10 @@
         let relays = self.traffic.relays.pick_relays(domain, now_us, expected_us, shares.len());
         let mut sends = sends.into_iter();
         for (relay, share) in relays.into_iter().zip(shares) {
-            let part = sends.by_ref().take(*share).collect();
-            self.send_through_relay(relay, part);
+            let relay_sends = sends.by_ref().take(*share).collect();
+            self.send_through_relay(relay, relay_sends);
         }
-        sends.for_each(|held| self.send_directly(held));
+        sends.for_each(|send| self.send_directly(send));
     }
 
     fn send_through_relay(&mut self, relay: EcoString, sends: Vec<DeferredSend>) {
@@ -391,34 +403,35 @@
             request: self.request.clone(),
             route: self.route.name.clone(),
             relay,
-            sends: sends.into_iter().map(|held| (held.shard, held.replica, held.send_id)).collect(),
+            sends: sends.into_iter().map(|send| (send.shard, send.replica, send.send_id)).collect(),
             top_k: self.top_k,
             deadline_us: self.plan.end_us,
             expected_us: self.fetch_plan.expected_us,
             stall_after_us: self.fetch_plan.hedge_after_us,
         };
-        let ends = self.events.clone();
-        let tell = move |parts, records| {
-            let _ = ends.send(GatherEvent::RelayReplied { parts, records });
+        let events = self.events.clone();
+        let on_reply = move |parts, records| {
+            // The send fails if the query was answered without this reply.
+            let _ = events.send(GatherEvent::RelayReplied { parts, records });
         };
-        self.sends.push(start_relay_call(self.traffic, spec, tell));
+        self.sends.push(start_relay_call(self.traffic, spec, on_reply));
     }
 
-    /// Takes the end of a send of this node's own in.
-    fn handle_send_result(&mut self, at: usize, end: UpstreamResult) {
-        self.shards[at].fetch.record_result(end.try_result());
-        let UpstreamResult::Answered(answer) = end else { return };
+    /// Records the result of a send that this node made.
+    fn handle_send_result(&mut self, at: usize, result: UpstreamResult) {
+        self.shards[at].fetch.record_result(result.try_result());
+        let UpstreamResult::Answered(answer) = result else { return };
         let Some(stamp) = answer.head.stamp.filter(|_| answer.status.is_success()) else { return };
-        // Two parts with one signature would make the whole answer wrong.
+        // Two parts with the same stamp would make the whole answer wrong.
         if matches!(self.shards[at].state, ShardState::Pending) && !self.has_stamp(&stamp) {
             self.add_batch(RecordBatch { stamps: vec![(at, stamp)], records: answer.body });
         }
     }
 
-    /// Takes parts that a relay asked for in; returns their shards.
+    /// Records the parts that a relay call reported; returns their shards.
     ///
-    /// Their records are merged, so they are in all together or not at all. A part of one of
-    /// their shards that a second send brought meanwhile gives way.
+    /// The records are merged, so either all answered parts are used or none. If a second send
+    /// brought the part of one of these shards in the meantime, the relayed part replaces it.
     fn handle_relay_reply(&mut self, parts: Vec<RelayPartResult>, records: Bytes) -> Vec<usize> {
         let shards = parts.iter().map(|part| part.shard).collect();
         let mut stamps = Vec::with_capacity(parts.len());
@@ -428,7 +441,7 @@
         }
         let is_fresh = stamps.iter().all(|(shard, stamp)| {
             let is_alone = match self.shards[*shard].state {
-                ShardState::Received(unit) => self.batches[unit].stamps.len() == 1,
+                ShardState::Received(batch) => self.batches[batch].stamps.len() == 1,
                 ShardState::Pending | ShardState::Missing(_) => true,
             };
             is_alone && !self.has_stamp(stamp)
@@ -440,17 +453,17 @@
     }
 
     fn has_stamp(&self, stamp: &EcoString) -> bool {
-        self.batches.iter().flat_map(|unit| &unit.stamps).any(|(_, known)| known == stamp)
+        self.batches.iter().flat_map(|batch| &batch.stamps).any(|(_, known)| known == stamp)
     }
 
-    fn add_batch(&mut self, unit: RecordBatch) {
-        for (shard, _) in &unit.stamps {
+    fn add_batch(&mut self, batch: RecordBatch) {
+        for (shard, _) in &batch.stamps {
             self.shards[*shard].state = ShardState::Received(self.batches.len());
         }
-        self.batches.push(unit);
+        self.batches.push(batch);
     }
 
-    /// Logs which shards are left out and why; one line for each answer that leaves some out.
+    /// Logs which shards are missing and why, in one line per query.
     fn log_missing_shards(&self) {
         let reasons: Vec<EcoString> = self
             .shards
@@ -462,9 +475,9 @@
                     shard.fetch.service(),
                     shard.fetch.last_replica()
                 )),
-                ShardState::Missing(end) => {
+                ShardState::Missing(reason) => {
                     let (service, last) = (shard.fetch.service(), shard.fetch.last_replica());
-                    Some(eco_format!("{service}: {end:?} after {last}"))
+                    Some(eco_format!("{service}: {reason:?} after {last}"))
                 }
             })
             .collect();
@@ -474,17 +487,17 @@
         }
     }
 
-    /// The answer with the parts that are in.
+    /// Returns the answer merged from the received parts.
     fn into_answer(mut self) -> Answer {
         self.sends.detach();
         self.log_missing_shards();
-        let is_in = |at: usize, unit: usize| matches!(self.shards[at].state, ShardState::Received(known) if known == unit);
+        let is_in = |at: usize, batch: usize| matches!(self.shards[at].state, ShardState::Received(index) if index == batch);
         let mut summary = CoverageSummary::default();
         let mut bodies: Vec<&[u8]> = Vec::with_capacity(self.batches.len());
-        for (number, unit) in self.batches.iter().enumerate() {
-            if unit.stamps.iter().all(|(shard, _)| is_in(*shard, number)) {
-                summary.stamps.extend(unit.stamps.iter().map(|(_, stamp)| stamp.clone()));
-                bodies.push(&unit.records);
+        for (index, batch) in self.batches.iter().enumerate() {
+            if batch.stamps.iter().all(|(shard, _)| is_in(*shard, index)) {
+                summary.stamps.extend(batch.stamps.iter().map(|(_, stamp)| stamp.clone()));
+                bodies.push(&batch.records);
             }
         }
         summary.missing_shard_count = self.shards.len() - summary.stamps.len();
@@ -492,7 +505,7 @@
         merged_answer(merge_records(bodies, self.top_k), &summary)
     }
 
-    /// The refusal of a query that cannot reach its least coverage any more.
+    /// Returns the refusal of a query that can no longer reach its minimum coverage.
     fn into_refusal(mut self, now_us: u64) -> Answer {
         self.sends.detach();
         self.log_missing_shards();
@@ -505,8 +518,8 @@
         let services = self.shards.iter().map(|shard| shard.fetch.service());
         let usable_in_us = usable_times_us(self.traffic, services, now_us);
         let soonest_us = min_parts_usable_in_us(&usable_in_us, self.plan.min_parts);
-        let usual_us = self.fetch_plan.expected_us;
-        let retry_after_ms = retry_delay_ms(soonest_us, usual_us, &self.request.attempt_id);
+        let expected_us = self.fetch_plan.expected_us;
+        let retry_after_ms = retry_delay_ms(soonest_us, expected_us, &self.request.attempt_id);
         refusal_answer(&self.traffic.metrics, refusal, Some(retry_after_ms))
     }
 }
--- a/crates/sassafrasproxy-gateway/src/relay_call.rs
+++ b/crates/sassafrasproxy-gateway/src/relay_call.rs
@@ -1,4 +1,4 @@
-//! Asking a relay for the parts of a query that are in its failure domain.
+//! Calls a relay for the parts of a query that are in its failure domain.
 
 use std::rc::Rc;
 use std::sync::Arc;
@@ -16,49 +16,51 @@
 use crate::traffic::TrafficState;
 use crate::upstream::SendGuard;
 
-/// How much later than a send of its own an ask of a relay counts as stalled, in microseconds:
-/// the relay holds replies back for 3 ms so that parts share them, and its slowest part counts.
+/// The time by which a relay call may be later than a direct send before it counts as stalled.
+///
+/// The relay waits 3 ms to put several parts into one reply, and the slowest part counts.
 const RELAY_STALL_MARGIN_US: u64 = 15_000;
 
-/// How long past its deadline an ask is waited for, in microseconds.
+/// The time for which a relay call waits for replies past its deadline, in microseconds.
 const REPLY_MARGIN_US: u64 = 60_000;
 
-/// What an ask needs.
+/// The parameters of a relay call.
 pub struct RelayCallSpec {
     /// The caller's request.
     pub request: Rc<CallerRequest>,
-    /// The route, for its latencies.
+    /// The name of the route, to record its latencies.
     pub route: EcoString,
-    /// The relay.
+    /// The id of the relay.
     pub relay: EcoString,
-    /// The sends that it makes: shard, replica, and the send as the pool knows it.
+    /// The sends that the relay makes: shard, replica, and the id of the send in the pool.
     pub sends: Vec<(usize, Arc<ReplicaEntry>, SendId)>,
-    /// How many of the greatest records the answer needs.
+    /// The number of top records that the answer needs.
     pub top_k: usize,
-    /// When the replicas stop, in microseconds.
+    /// The deadline of the sends to the replicas, in microseconds of this node's clock.
     pub deadline_us: u64,
-    /// The usual time of a send, in microseconds.
+    /// The expected time of a send, in microseconds.
     pub expected_us: u64,
-    /// After which the relay counts as stalled, in microseconds.
+    /// The time after which a direct send counts as stalled, in microseconds.
     pub stall_after_us: u64,
 }
 
-/// How one send of a relay ended.
+/// The result of one send of a relay.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct RelayPartResult {
-    /// The shard's number in the query.
+    /// The index of the shard in the query.
     pub shard: usize,
-    /// What it means for the shard's fetch.
+    /// The result for the fetch of the shard.
     pub result: SendResult,
-    /// The replica's signature, if it was answered.
+    /// The stamp of the replica, if it answered.
     pub stamp: Option<EcoString>,
 }
 
-/// Starts an ask in a task of its own, which tells the ends of its sends as they come.
+/// Starts a relay call in a task, which calls `on_reply` with results and merged records as they
+/// arrive.
 pub fn start_relay_call(
     traffic: &Rc<TrafficState>,
     spec: RelayCallSpec,
-    tell: impl Fn(Vec<RelayPartResult>, Bytes) + 'static,
+    on_reply: impl Fn(Vec<RelayPartResult>, Bytes) + 'static,
 ) -> AbortHandle {
     let traffic = traffic.clone();
     spawn_local(async move {
@@ -66,44 +68,45 @@
         let mut open: IndexMap<usize, SendGuard> = spec
             .sends
             .iter()
-            .map(|(shard, replica, send)| {
-                (*shard, SendGuard::new(&traffic, replica.id.clone(), *send))
+            .map(|(shard, replica, send_id)| {
+                (*shard, SendGuard::new(&traffic, replica.id.clone(), *send_id))
             })
             .collect();
-        let patience_us = spec.stall_after_us + RELAY_STALL_MARGIN_US;
-        let ask = traffic.relays.start_call(&spec.relay, started_us, spec.expected_us, patience_us);
-        let mut noted = RelayCallGuard {
+        let stall_after_us = spec.stall_after_us + RELAY_STALL_MARGIN_US;
+        let call_id =
+            traffic.relays.start_call(&spec.relay, started_us, spec.expected_us, stall_after_us);
+        let mut guard = RelayCallGuard {
             traffic: traffic.clone(),
             relay: spec.relay.clone(),
-            send_id: ask.unwrap_or(0),
+            send_id: call_id.unwrap_or(0),
             outcome: SendOutcome::Cancelled,
         };
         let left_us = spec.deadline_us.saturating_sub(started_us);
         let limit = Duration::from_micros(left_us + REPLY_MARGIN_US);
-        let exchange = run_relay_call(&traffic, &spec, left_us, &mut open, &tell);
-        noted.outcome = match timeout(limit, exchange).await {
+        let call = run_relay_call(&traffic, &spec, left_us, &mut open, &on_reply);
+        guard.outcome = match timeout(limit, call).await {
             Ok(Ok(())) => SendOutcome::Answered,
             Ok(Err(error)) => {
                 let (request, relay) = (&spec.request.attempt_id, &spec.relay);
-                log::info!(request:%, relay:%, error:%; "a relay failed");
+                log::info!(request:%, relay:%, error:%; "a relay call failed");
                 SendOutcome::Unreachable
             }
             Err(_) => SendOutcome::TimedOut,
         };
-        let is_sent = noted.outcome == SendOutcome::TimedOut;
-        drop(noted);
+        let is_sent = guard.outcome == SendOutcome::TimedOut;
+        drop(guard);
         if open.is_empty() {
             return;
         }
-        // Whether the replicas ran what a lost relay was asked for is not known.
+        // After a timeout, the replicas may have run the sends that the relay did not report.
         let result = if is_sent { SendResult::MayHaveRun } else { SendResult::Unsent };
         let ended = open.keys().map(|shard| RelayPartResult { shard: *shard, result, stamp: None });
-        tell(ended.collect(), Bytes::new());
+        on_reply(ended.collect(), Bytes::new());
     })
     .abort_handle()
 }
 
-/// Tells the pool of relays how an ask ended, also when its task is aborted.
+/// Reports the outcome of a relay call to the relay pool, also if its task is aborted.
 struct RelayCallGuard {
     traffic: Rc<TrafficState>,
     relay: EcoString,
@@ -118,45 +121,46 @@
     }
 }
 
-/// Asks the relay and passes its replies on until every send has ended.
+/// Calls the relay and passes on its replies until every send has ended.
 async fn run_relay_call(
     traffic: &Rc<TrafficState>,
     spec: &RelayCallSpec,
     left_us: u64,
     open: &mut IndexMap<usize, SendGuard>,
-    tell: &impl Fn(Vec<RelayPartResult>, Bytes),
+    on_reply: &impl Fn(Vec<RelayPartResult>, Bytes),
 ) -> eyre::Result<()> {
     let started_us = traffic.clock.now_us();
-    let mut ask = traffic.relays.call(&spec.relay, build_relay_call(spec, left_us)).await?;
+    let mut call = traffic.relays.call(&spec.relay, build_relay_call(spec, left_us)).await?;
     while !open.is_empty() {
-        let Some(reply) = ask.next_reply().await else {
-            // The connection ended after the ask: the replicas may run it.
-            let lost = open.drain(..).map(|(shard, noted)| {
-                noted.finish(SendOutcome::Cancelled, None);
+        let Some(reply) = call.next_reply().await else {
+            // The connection ended after the call was sent, so the replicas may have run it.
+            let lost = open.drain(..).map(|(shard, guard)| {
+                guard.finish(SendOutcome::Cancelled, None);
                 RelayPartResult { shard, result: SendResult::MayHaveRun, stamp: None }
             });
-            tell(lost.collect(), Bytes::new());
-            eyre::bail!("the connection ended");
+            on_reply(lost.collect(), Bytes::new());
+            eyre::bail!("the connection to the relay ended before all parts were reported");
         };
         let took_us = traffic.clock.now_us() - started_us;
         traffic.relays.record_reply(&spec.relay, traffic.clock.now_us());
         let mut parts = Vec::with_capacity(reply.parts.len());
         for part in reply.parts {
-            let Some(noted) = open.swap_remove(&part.shard) else { continue };
+            let Some(guard) = open.swap_remove(&part.shard) else { continue };
             let (outcome, result, stamp) = interpret_relay_end(part.end);
-            noted.finish(outcome, part.reported);
+            guard.finish(outcome, part.reported);
             if result == SendResult::Answered {
                 traffic.record_latency(&spec.route, took_us);
             }
             parts.push(RelayPartResult { shard: part.shard, result, stamp });
         }
-        tell(parts, Bytes::from(reply.records));
+        on_reply(parts, Bytes::from(reply.records));
     }
-    ask.finish();
+    call.finish();
     Ok(())
 }
 
-/// What a relay's end of a send means for the replica, for the fetch, and its signature.
+/// Converts the end that a relay reports for a send into the outcome for the replica, the result
+/// for the fetch, and the stamp of the replica if it answered.
 fn interpret_relay_end(end: RelayEnd) -> (SendOutcome, SendResult, Option<EcoString>) {
     match end {
         RelayEnd::Answered { stamp } => (SendOutcome::Answered, SendResult::Answered, Some(stamp)),
--- a/crates/sassafrasproxy-gateway/src/relay_server.rs
+++ b/crates/sassafrasproxy-gateway/src/relay_server.rs
@@ -1,4 +1,4 @@
-//! Relaying: asking replicas near this node for an entry in another failure domain.
+//! Serves relay calls: sends to replicas near this node on behalf of another gateway node.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -21,19 +21,21 @@
 use crate::traffic::TrafficState;
 use crate::upstream::{SendSpec, SendTasks, UpstreamResult, start_send};
 
-/// How long a part that has ended waits for others, to share a reply and its merge.
+/// The time for which a finished part waits for others, to be merged into the same reply.
 ///
-/// Parts of one query end within some milliseconds of each other; a reply for each would give
-/// up most of what merging saves. The last part of an ask never waits.
+/// The parts of one query end within a few milliseconds of each other, and one reply per part
+/// would lose most of what merging saves. The last part of a relay call never waits.
 const REPLY_BATCH_DELAY: Duration = Duration::from_millis(3);
 
-/// The pause after a connection could not be accepted.
+/// The delay before the next accept after an accept has failed.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
 
-/// What a relay's send is called that this node's pool does not count, as the route is unknown here.
+/// The send id of a send that the pool of this node does not track.
+///
+/// The pool tracks no send of an unknown route, as it lacks the route's latencies.
 const UNTRACKED_SEND_ID: SendId = 0;
 
-/// Serves entries for as long as the process runs.
+/// Accepts and serves connections of other gateway nodes until the process ends.
 pub async fn run(listener: TcpListener, traffic: Rc<TrafficState>) {
     loop {
         match listener.accept().await {
@@ -41,14 +43,14 @@
                 spawn_local(serve_relay_connection(stream, from, traffic.clone()));
             }
             Err(error) => {
-                log::warn!(error:%; "an entry's connection could not be accepted");
+                log::warn!(error:%; "failed to accept a relay connection; retrying");
                 sleep(ACCEPT_RETRY_DELAY).await;
             }
         }
     }
 }
 
-/// The asks of one entry that are under way; dropped with its connection, which ends them.
+/// The relay calls in progress on one connection, by id; aborted when dropped with it.
 #[derive(Default)]
 struct ActiveRelayCalls {
     tasks: IndexMap<u64, AbortHandle>,
@@ -62,12 +64,12 @@
 
 async fn serve_relay_connection(stream: TcpStream, from: SocketAddr, traffic: Rc<TrafficState>) {
     if let Err(error) = stream.set_nodelay(true) {
-        log::debug!(error:%; "a connection goes without nodelay");
+        log::debug!(error:%; "failed to set TCP_NODELAY on a relay connection");
     }
     let (mut sink, mut frames) = Framed::new(stream, LengthDelimitedCodec::new()).split();
-    let (replies, mut waiting) = mpsc::unbounded_channel::<RelayReply>();
-    let (ended, mut ends) = mpsc::unbounded_channel::<u64>();
-    let mut asks = ActiveRelayCalls::default();
+    let (reply_sender, mut replies) = mpsc::unbounded_channel::<RelayReply>();
+    let (finished_sender, mut finished) = mpsc::unbounded_channel::<u64>();
+    let mut calls = ActiveRelayCalls::default();
     loop {
         tokio::select! {
             frame = frames.next() => {
@@ -75,40 +77,51 @@
                 match postcard::from_bytes(&frame) {
                     Ok(RelayRequest::Ask(ask)) => {
                         let id = ask.id;
-                        let (traffic, replies, ended) =
-                            (traffic.clone(), replies.clone(), ended.clone());
+                        let (traffic, reply_sender, finished_sender) =
+                            (traffic.clone(), reply_sender.clone(), finished_sender.clone());
                         let task = spawn_local(async move {
-                            serve_relay_call(traffic, ask, replies).await;
-                            // The connection may be gone already.
-                            let _ = ended.send(id);
+                            serve_relay_call(traffic, ask, reply_sender).await;
+                            // The send fails if the connection has ended.
+                            let _ = finished_sender.send(id);
                         });
-                        asks.tasks.insert(id, task.abort_handle());
+                        calls.tasks.insert(id, task.abort_handle());
                     }
                     Ok(RelayRequest::Cancel { id }) => {
-                        if let Some(task) = asks.tasks.swap_remove(&id) {
+                        if let Some(task) = calls.tasks.swap_remove(&id) {
                             task.abort();
                         }
                     }
-                    Err(error) => return log::warn!(from:%, error:%; "a frame cannot be read"),
+                    Err(error) => {
+                        return log::warn!(
+                            from:%, error:%;
+                            "failed to decode a relay request; closing the connection"
+                        );
+                    }
                 }
             }
-            Some(reply) = waiting.recv() => {
+            Some(reply) = replies.recv() => {
                 let frame = match postcard::to_stdvec(&reply) {
                     Ok(frame) => frame,
-                    Err(error) => return log::error!(error:%; "a reply cannot be written"),
+                    Err(error) => {
+                        return log::error!(
+                            error:%; "failed to encode a relay reply; closing the connection"
+                        );
+                    }
                 };
                 if let Err(error) = sink.send(Bytes::from(frame)).await {
-                    return log::debug!(from:%, error:%; "an entry's connection ended");
+                    return log::debug!(
+                        from:%, error:%; "failed to write to a relay connection; closing it"
+                    );
                 }
             }
-            Some(id) = ends.recv() => {
-                asks.tasks.swap_remove(&id);
+            Some(id) = finished.recv() => {
+                calls.tasks.swap_remove(&id);
             }
         }
     }
 }
 
-/// Sends to all replicas of an ask, and replies as they end.
+/// Sends to all replicas of a relay call, and replies as the sends end.
 async fn serve_relay_call(
     traffic: Rc<TrafficState>,
     ask: RelayAsk,
@@ -124,26 +137,26 @@
         return;
     };
     let request = Rc::new(request);
-    let (ends, mut ended) = mpsc::unbounded_channel();
+    let (result_sender, mut results) = mpsc::unbounded_channel();
     let mut sends = SendTasks::default();
-    let times = traffic.route_send_timing(&ask.route);
+    let timing = traffic.route_send_timing(&ask.route);
     for part in &ask.parts {
-        let send = start_part_send(&traffic, &ask, part, &request, times, ends.clone());
+        let send = start_part_send(&traffic, &ask, part, &request, timing, result_sender.clone());
         send.into_iter().for_each(|send| sends.push(send));
     }
-    let mut left = ask.parts.len();
+    let mut pending = ask.parts.len();
     let mut ready: Vec<(usize, UpstreamResult)> = Vec::new();
     let mut flush_at: Option<Instant> = None;
-    while left > 0 {
+    while pending > 0 {
         tokio::select! {
-            Some(end) = ended.recv() => {
-                left -= 1;
-                ready.push(end);
+            Some(result) = results.recv() => {
+                pending -= 1;
+                ready.push(result);
                 flush_at.get_or_insert_with(|| Instant::now() + REPLY_BATCH_DELAY);
             }
             () = sleep_until(flush_at.unwrap_or_else(Instant::now)), if flush_at.is_some() => {
                 flush_at = None;
-                // Without a connection there is nobody to tell, and the ask is aborted.
+                // The send fails if the connection has ended, which also aborts this task.
                 let _ = replies.send(build_reply(&ask, std::mem::take(&mut ready)));
             }
         }
@@ -152,42 +165,44 @@
     let _ = replies.send(build_reply(&ask, ready));
 }
 
-/// Starts a send; `None` if this node has not heard of the replica yet, which ends the part unsent.
+/// Starts the send of a part.
+///
+/// Returns `None` and reports the part as unsent if this node does not know the replica yet.
 fn start_part_send(
     traffic: &Rc<TrafficState>,
     ask: &RelayAsk,
     part: &RelayPart,
     request: &Rc<CallerRequest>,
-    times: Option<SendTiming>,
-    ends: mpsc::UnboundedSender<(usize, UpstreamResult)>,
+    timing: Option<SendTiming>,
+    results: mpsc::UnboundedSender<(usize, UpstreamResult)>,
 ) -> Option<AbortHandle> {
     let shard = part.shard;
-    // The ask may have been cancelled.
-    let tell = move |end| drop(ends.send((shard, end)));
-    let known = traffic.pool.borrow().entry(&part.replica).cloned();
-    let Some(replica) = known else {
-        tell(UpstreamResult::Unsent);
+    // The send fails if the relay call was cancelled.
+    let on_result = move |result| drop(results.send((shard, result)));
+    let entry = traffic.pool.borrow().entry(&part.replica).cloned();
+    let Some(replica) = entry else {
+        on_result(UpstreamResult::Unsent);
         return None;
     };
     traffic.metrics.sends.get_or_create(&KindLabel::new("relayed")).inc();
     let now_us = traffic.clock.now_us();
-    let send = times.and_then(|times| {
+    let send_id = timing.and_then(|timing| {
         let mut pool = traffic.pool.borrow_mut();
-        pool.start_send(&part.replica, now_us, times.expected_us, times.hedge_after_us)
+        pool.start_send(&part.replica, now_us, timing.expected_us, timing.hedge_after_us)
     });
     let spec = SendSpec {
         request: request.clone(),
         route: ask.route.clone(),
         replica,
-        send_id: send.unwrap_or(UNTRACKED_SEND_ID),
+        send_id: send_id.unwrap_or(UNTRACKED_SEND_ID),
         deadline_us: request.deadline_us,
         is_fan_out: true,
         is_idempotent: true,
     };
-    Some(start_send(traffic, spec, tell))
+    Some(start_send(traffic, spec, on_result))
 }
 
-/// The caller's request as the entry passed it on; `None` if it cannot be one.
+/// Decodes the caller's request from a relay call; `None` if it is not a valid HTTP request.
 fn decode_caller_request(traffic: &TrafficState, ask: &RelayAsk) -> Option<CallerRequest> {
     let mut headers = HeaderMap::with_capacity(ask.headers.len());
     for (name, value) in &ask.headers {
@@ -208,13 +223,13 @@
     })
 }
 
-/// One reply for parts that have ended, with the greatest records of them all.
-fn build_reply(ask: &RelayAsk, ended: Vec<(usize, UpstreamResult)>) -> RelayReply {
-    let mut parts = Vec::with_capacity(ended.len());
-    let mut bodies: Vec<Bytes> = Vec::with_capacity(ended.len());
-    for (shard, end) in ended {
-        let reported = end.reported_load();
-        let end = match end {
+/// Returns one reply for parts that have ended, with the top records of all answered parts.
+fn build_reply(ask: &RelayAsk, results: Vec<(usize, UpstreamResult)>) -> RelayReply {
+    let mut parts = Vec::with_capacity(results.len());
+    let mut bodies: Vec<Bytes> = Vec::with_capacity(results.len());
+    for (shard, result) in results {
+        let reported = result.reported_load();
+        let end = match result {
             UpstreamResult::Answered(answer) => match answer.head.stamp {
                 Some(stamp) if answer.status.is_success() => {
                     bodies.push(answer.body);
