--- a/crates/sassafrasproxy-gateway/src/connection_pool.rs
+++ b/crates/sassafrasproxy-gateway/src/connection_pool.rs
@@ -1,4 +1,4 @@
-//! Kept connections to upstream replicas.
+//! Opens connections to upstream replicas and pools the idle ones.
 
 use std::io;
 use std::net::SocketAddr;
@@ -16,10 +16,11 @@
 use tokio::task::spawn_local;
 use tokio::time::timeout;
 
-/// How long before an idle connection's announced end it is not used any more, in milliseconds.
+/// The time before the announced keep-alive timeout from which an idle connection is not used any
+/// more, in milliseconds.
 ///
-/// A request that crosses the replica's close may have run for all this node knows; a quarter of
-/// a second is far beyond the delay between the two.
+/// If the replica closes the connection while a request is on its way, the request may have run as
+/// far as this node knows. A quarter of a second far exceeds the network delay.
 const KEEP_ALIVE_MARGIN_MS: u64 = 250;
 
 /// A connection that can carry one request at a time.
@@ -29,7 +30,7 @@
 #[derive(Debug)]
 struct IdleConnection {
     sender: UpstreamConnection,
-    /// Until when it may be used, in microseconds.
+    /// The time until which the connection may be used, in microseconds.
     usable_until_us: u64,
 }
 
@@ -40,7 +41,7 @@
 }
 
 impl ConnectionPool {
-    /// Takes the idle connection to a replica that was used last.
+    /// Takes the most recently used idle connection to a replica.
     pub fn take(&mut self, replica: &str, now_us: u64) -> Option<UpstreamConnection> {
         let idle = self.idle.get_mut(replica)?;
         while let Some(connection) = idle.pop() {
@@ -51,7 +52,7 @@
         None
     }
 
-    /// Keeps a connection whose last answer is complete, unless `limit` are idle already.
+    /// Adds a connection whose last answer is complete, unless `limit` are idle already.
     pub fn put(
         &mut self,
         replica: &EcoString,
@@ -61,58 +62,58 @@
         limit: usize,
     ) {
         let usable_ms = keep_alive_ms.map(|ms| ms.saturating_sub(KEEP_ALIVE_MARGIN_MS));
-        let until_us = usable_ms.map_or(u64::MAX, |ms| now_us + ms * US_PER_MS);
+        let usable_until_us = usable_ms.map_or(u64::MAX, |ms| now_us + ms * US_PER_MS);
         let idle = self.idle.entry(replica.clone()).or_default();
         idle.retain(|one| one.usable_until_us > now_us && !one.sender.is_closed());
         if idle.len() >= limit {
             return;
         }
-        idle.push(IdleConnection { sender, usable_until_us: until_us });
+        idle.push(IdleConnection { sender, usable_until_us });
     }
 
     /// Drops the idle connections to a replica.
     ///
-    /// Guards against connections that went silent together: after one has shown it, the others
-    /// would each cost a request to find out.
+    /// Guards against connections that stall together: once one has stalled, each of the others
+    /// would cost another request before it is dropped.
     pub fn drop_idle(&mut self, replica: &str) {
         if let Some(idle) = self.idle.get_mut(replica) {
             idle.clear();
         }
     }
 
-    /// Drops the connections to replicas that are no more.
+    /// Drops the connections to replicas for which `is_known` returns false.
     pub fn retain(&mut self, mut is_known: impl FnMut(&EcoString) -> bool) {
         self.idle.retain(|replica, _| is_known(replica));
     }
 
-    /// Whether an idle connection to a replica is there.
+    /// Whether the pool has an idle connection to a replica.
     pub fn has_idle(&self, replica: &str) -> bool {
         self.idle.get(replica).is_some_and(|idle| !idle.is_empty())
     }
 }
 
-/// Why there is no connection.
+/// The reason why a connection could not be opened.
 #[derive(Debug, Error)]
 pub enum ConnectError {
-    /// Nothing came back in time.
-    #[error("no answer within {0:?}")]
+    /// The replica did not accept the connection in time.
+    #[error("the connection was not accepted within {0:?}")]
     TimedOut(Duration),
-    /// The system says why.
+    /// The operating system reported an error.
     #[error("{0}")]
     Io(#[from] io::Error),
-    /// The replica took it and ended it again.
-    #[error("the replica ended the new connection")]
+    /// The replica accepted the connection and ended it at once.
+    #[error("the replica accepted the connection and ended it at once")]
     Closed,
-    /// The HTTP library could not take it.
+    /// The HTTP handshake failed.
     #[error("{0}")]
     Handshake(#[from] hyper::Error),
 }
 
 impl ConnectError {
-    /// Whether there is no process any more that takes connections.
+    /// Whether the error means that no process accepts connections any more.
     ///
-    /// A replica that is over its cap resets new ones, but lives. Taken for dead, it would make
-    /// requests that broke off there look as if they had crashed it.
+    /// A replica over its connection limit resets new connections but still runs. If a reset
+    /// counted as a crash, the requests that broke off there would be taken for its cause.
     pub fn is_process_gone(&self) -> bool {
         match self {
             Self::TimedOut(_) => true,
@@ -122,11 +123,11 @@
     }
 }
 
-/// Makes a connection, and waits whether it stays quiet for a time.
+/// Opens a connection within `limit`, and checks that it stays open for the time `quiet`.
 ///
-/// Guards against a replica that is over its cap and resets a connection right after it took it.
-/// A request that was written by then may have run for all this node knows; one that must not run
-/// twice would be lost, though a sibling could serve it.
+/// Guards against a replica over its connection limit, which resets a connection right after it
+/// accepted it. A request written before the reset may have run as far as this node knows, so a
+/// non-idempotent one would fail although another replica could serve it.
 pub async fn connect(
     address: SocketAddr,
     limit: Duration,
@@ -141,7 +142,7 @@
     let (sender, connection) = handshake(TokioIo::new(stream)).await?;
     spawn_local(async move {
         if let Err(error) = connection.await {
-            log::debug!(address:%, error:%; "a connection to a replica ended");
+            log::debug!(address:%, error:%; "a connection to a replica ended with an error");
         }
     });
     Ok(sender)
--- a/crates/sassafrasproxy-gateway/src/relay_pool.rs
+++ b/crates/sassafrasproxy-gateway/src/relay_pool.rs
@@ -1,4 +1,4 @@
-//! The relays in other failure domains, and the connections to them.
+//! Keeps the relays of all failure domains and the connections to them.
 
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
@@ -20,18 +20,18 @@
 use tokio::time::timeout;
 use tokio_util::codec::{Framed, LengthDelimitedCodec};
 
-/// How long a connection to a relay may take: some round trips between failure domains.
+/// The timeout of a connection attempt to a relay: a few round trips between failure domains.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(100);
 
-/// How many asks a relay may have of this node at once; far above what a node serves at once.
+/// The maximum number of relay calls in flight to one relay; far above what a node can serve.
 const MAX_CALLS_PER_RELAY: u32 = 1_000;
 
-/// All relays that this node may ask, and its connections to them.
+/// All relays that this node may call, and its connections to them.
 pub struct RelayPool {
-    /// Each relay as a replica of the failure domain that it is in.
+    /// The relays as replicas, with the name of their failure domain as the service.
     pool: RefCell<UpstreamPool>,
     addresses: RefCell<IndexMap<EcoString, SocketAddr>>,
-    /// By failure domain, how much of a core its largest node has, in thousandths.
+    /// The CPU of the largest node of each failure domain, in thousandths of a core.
     largest_cpu_by_domain: RefCell<IndexMap<EcoString, u32>>,
     connections: RefCell<IndexMap<EcoString, RelayConnection>>,
     next_id: Cell<u64>,
@@ -44,7 +44,7 @@
     pending_calls: Rc<RefCell<IndexMap<u64, mpsc::UnboundedSender<RelayReply>>>>,
 }
 
-/// An ask under way; cancelled when dropped before its last reply.
+/// A relay call in progress; cancelled when dropped before [`finish`](Self::finish).
 pub struct PendingRelayCall {
     id: u64,
     connection: RelayConnection,
@@ -53,12 +53,12 @@
 }
 
 impl PendingRelayCall {
-    /// The next reply; `None` once the connection has ended.
+    /// Waits for the next reply; returns `None` once the connection has ended.
     pub async fn next_reply(&mut self) -> Option<RelayReply> {
         self.replies.recv().await
     }
 
-    /// Notes that the last reply has come.
+    /// Records that the last reply has arrived.
     pub fn finish(&mut self) {
         self.is_finished = true;
     }
@@ -68,14 +68,14 @@
     fn drop(&mut self) {
         self.connection.pending_calls.borrow_mut().swap_remove(&self.id);
         if !self.is_finished {
-            // A connection that has ended has ended its asks.
+            // The send fails if the connection has ended, which also ends its calls.
             let _ = self.connection.requests.send(RelayRequest::Cancel { id: self.id });
         }
     }
 }
 
 impl RelayPool {
-    /// No relays yet.
+    /// Returns a pool without relays.
     pub fn new(settings: &GatewaySettings) -> Self {
         let pool = PoolSettings {
             failure_domain: settings.failure_domain.clone(),
@@ -91,19 +91,22 @@
         }
     }
 
-    /// Takes the nodes that are there in; the larger ones of each failure domain relay.
-    pub fn update(&self, now_us: u64, nodes: &[DirectoryNode], me: &str) {
+    /// Updates the relays to the known nodes.
+    ///
+    /// A node is a relay if it has at least half the CPU of the largest node of its failure
+    /// domain.
+    pub fn update(&self, now_us: u64, nodes: &[DirectoryNode], own_address: &str) {
         let alive = |node: &&DirectoryNode| {
             node.state == MemberState::Alive && !node.relay_address.is_empty()
         };
         let mut largest: IndexMap<EcoString, u32> = IndexMap::new();
         for node in nodes {
-            let known = largest.entry(node.failure_domain.clone()).or_default();
-            *known = node.cpu_millis.max(*known);
+            let cpu_millis = largest.entry(node.failure_domain.clone()).or_default();
+            *cpu_millis = node.cpu_millis.max(*cpu_millis);
         }
         let mut catalogue = Catalogue::default();
         let mut addresses = IndexMap::new();
-        for node in nodes.iter().filter(alive).filter(|node| node.address != me) {
+        for node in nodes.iter().filter(alive).filter(|node| node.address != own_address) {
             let Ok(address) = node.relay_address.parse() else { continue };
             if 2 * node.cpu_millis < largest[&node.failure_domain] {
                 continue;
@@ -139,17 +142,17 @@
         self.pool.borrow().has_replicas(domain)
     }
 
-    /// How many relays a failure domain has.
+    /// Returns the number of relays in a failure domain.
     pub fn relay_count(&self, domain: &str) -> usize {
         self.pool.borrow().replica_count(domain)
     }
 
-    /// How much of a core the largest node of a failure domain has, in thousandths.
+    /// Returns the CPU of the largest node of a failure domain, in thousandths of a core.
     pub fn largest_cpu_millis(&self, domain: &str) -> u32 {
         self.largest_cpu_by_domain.borrow().get(domain).copied().unwrap_or(0)
     }
 
-    /// The relays of a failure domain that will probably answer first, as far as any can be asked.
+    /// Returns up to `count` usable relays of a failure domain that probably answer first.
     pub fn pick_relays(
         &self,
         domain: &str,
@@ -166,63 +169,69 @@
         picked
     }
 
-    /// Notes an ask of a relay.
+    /// Records the start of a relay call and returns its id, or `None` for an unknown relay.
+    ///
+    /// The call counts as stalled after `stall_after_us`.
     pub fn start_call(
         &self,
         relay: &str,
         now_us: u64,
         expected_us: u64,
-        patience_us: u64,
+        stall_after_us: u64,
     ) -> Option<SendId> {
-        self.pool.borrow_mut().start_send(relay, now_us, expected_us, patience_us)
+        self.pool.borrow_mut().start_send(relay, now_us, expected_us, stall_after_us)
     }
 
-    /// Notes that a relay replied with some of the parts.
+    /// Records that a relay replied with some of the parts.
     pub fn record_reply(&self, relay: &str, now_us: u64) {
         self.pool.borrow_mut().record_activity(relay, now_us);
     }
 
-    /// Notes the end of an ask of a relay; a lost one drops the connection.
+    /// Records the outcome of a relay call; a failed call drops the connection.
     ///
-    /// Guards against a connection that went silent: the next ask makes a new one.
-    pub fn finish_call(&self, relay: &str, send: SendId, now_us: u64, outcome: SendOutcome) {
-        self.pool.borrow_mut().finish_send(relay, send, now_us, outcome, None);
+    /// The connection may be stalled, so the next call opens a new one.
+    pub fn finish_call(&self, relay: &str, call_id: SendId, now_us: u64, outcome: SendOutcome) {
+        self.pool.borrow_mut().finish_send(relay, call_id, now_us, outcome, None);
         if outcome != SendOutcome::Answered && outcome != SendOutcome::Cancelled {
             self.connections.borrow_mut().swap_remove(relay);
         }
     }
 
-    /// Sends an ask to a relay.
+    /// Sends a relay call to a relay.
+    ///
+    /// Returns an error if the relay is unknown or the connection cannot be opened.
     pub async fn call(
         &self,
         relay: &EcoString,
         mut ask: RelayAsk,
     ) -> eyre::Result<PendingRelayCall> {
-        let link = self.connection(relay).await?;
+        let connection = self.connection(relay).await?;
         let id = self.next_id.get();
         self.next_id.set(id + 1);
         ask.id = id;
-        let (sender, replies) = mpsc::unbounded_channel();
-        link.pending_calls.borrow_mut().insert(id, sender);
-        link.requests.send(RelayRequest::Ask(ask))?;
-        Ok(PendingRelayCall { id, connection: link, replies, is_finished: false })
+        let (reply_sender, replies) = mpsc::unbounded_channel();
+        connection.pending_calls.borrow_mut().insert(id, reply_sender);
+        connection.requests.send(RelayRequest::Ask(ask))?;
+        Ok(PendingRelayCall { id, connection, replies, is_finished: false })
     }
 
-    /// The connection to a relay, made if there is none.
+    /// Returns the connection to a relay, and opens one if there is none.
     async fn connection(&self, relay: &EcoString) -> eyre::Result<RelayConnection> {
-        if let Some(link) = self.connections.borrow().get(relay).filter(|link| link.is_open()) {
-            return Ok(link.clone());
+        if let Some(known) = self.connections.borrow().get(relay).filter(|known| known.is_open()) {
+            return Ok(known.clone());
         }
         let address = self.addresses.borrow().get(relay).copied();
-        let address = address.ok_or_else(|| eyre::eyre!("the relay is gone"))?;
+        let address = address.ok_or_else(|| {
+            eyre::eyre!("the address of the relay is unknown; the node may have left")
+        })?;
         let stream = timeout(CONNECT_TIMEOUT, TcpStream::connect(address)).await??;
         stream.set_nodelay(true)?;
-        let (requests, waiting) = mpsc::unbounded_channel();
-        let link = RelayConnection { requests, pending_calls: Rc::default() };
-        spawn_local(run_connection(stream, waiting, link.pending_calls.clone()));
-        // Two requests may have connected at the same time; the later connection stays.
-        self.connections.borrow_mut().insert(relay.clone(), link.clone());
-        Ok(link)
+        let (requests, queued_requests) = mpsc::unbounded_channel();
+        let connection = RelayConnection { requests, pending_calls: Rc::default() };
+        spawn_local(run_connection(stream, queued_requests, connection.pending_calls.clone()));
+        // Two callers may have connected at the same time; the later connection is kept.
+        self.connections.borrow_mut().insert(relay.clone(), connection.clone());
+        Ok(connection)
     }
 }
 
@@ -232,21 +241,23 @@
     }
 }
 
-/// Carries requests and replies until the connection ends or nobody uses it any more.
+/// Transfers requests and replies until the connection ends or its last user drops it.
 async fn run_connection(
     stream: TcpStream,
-    mut waiting: mpsc::UnboundedReceiver<RelayRequest>,
-    asks: Rc<RefCell<IndexMap<u64, mpsc::UnboundedSender<RelayReply>>>>,
+    mut requests: mpsc::UnboundedReceiver<RelayRequest>,
+    pending_calls: Rc<RefCell<IndexMap<u64, mpsc::UnboundedSender<RelayReply>>>>,
 ) {
     let (mut sink, mut frames) = Framed::new(stream, LengthDelimitedCodec::new()).split();
     loop {
         tokio::select! {
-            request = waiting.recv() => {
+            request = requests.recv() => {
                 let Some(request) = request else { break };
                 let frame = match postcard::to_stdvec(&request) {
                     Ok(frame) => frame,
                     Err(error) => {
-                        log::error!(error:%; "an ask cannot be written");
+                        log::error!(
+                            error:%; "failed to encode a relay request; closing the connection"
+                        );
                         break;
                     }
                 };
@@ -259,17 +270,19 @@
                 let reply: RelayReply = match postcard::from_bytes(&frame) {
                     Ok(reply) => reply,
                     Err(error) => {
-                        log::warn!(error:%; "a reply cannot be read");
+                        log::warn!(
+                            error:%; "failed to decode a relay reply; closing the connection"
+                        );
                         break;
                     }
                 };
-                // The ask may have been given up on.
-                if let Some(ask) = asks.borrow().get(&reply.id) {
-                    let _ = ask.send(reply);
+                // The call may have been cancelled.
+                if let Some(call) = pending_calls.borrow().get(&reply.id) {
+                    let _ = call.send(reply);
                 }
             }
         }
     }
-    // Whoever still waits hears that the connection has ended.
-    asks.borrow_mut().clear();
+    // Dropping the senders tells the pending calls that the connection has ended.
+    pending_calls.borrow_mut().clear();
 }
--- a/crates/sassafrasproxy-gateway/src/single_replica.rs
+++ b/crates/sassafrasproxy-gateway/src/single_replica.rs
@@ -1,4 +1,4 @@
-//! Serving a request that one replica of one service answers.
+//! Serves a request that a single replica of one service answers.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -18,7 +18,7 @@
     SendSpec, SendTasks, UpstreamAnswer, UpstreamResult, is_failure, start_send,
 };
 
-/// Serves a request by one replica of a service.
+/// Serves a request with the answer of one replica of a service.
 pub async fn serve(
     traffic: &Rc<TrafficState>,
     request: Rc<CallerRequest>,
@@ -28,7 +28,7 @@
     let plan = traffic.fetch_plan(route);
     let end_us = request.answer_deadline_us(route);
     let mut fetch = Fetch::new(service);
-    let (ends, mut ended) = mpsc::unbounded_channel();
+    let (result_sender, mut results) = mpsc::unbounded_channel();
     let mut sends = SendTasks::default();
     let mut failure_answer: Option<UpstreamAnswer> = None;
     traffic.retry_budget.borrow_mut().record_request(fetch.service(), request.arrived_us);
@@ -46,7 +46,10 @@
         let until_us = match step {
             FetchStep::Send { replica, send, cause } => {
                 traffic.count_send(cause);
-                log::debug!(request:% = request.attempt_id, replica:%, cause:?; "a send starts");
+                log::debug!(
+                    request:% = request.attempt_id, replica:%, cause:?;
+                    "starting a send to a replica"
+                );
                 let entry = traffic.pool.borrow().entry(&replica).cloned();
                 let Some(replica) = entry else { continue };
                 let spec = SendSpec {
@@ -58,10 +61,10 @@
                     is_fan_out: false,
                     is_idempotent: route.is_idempotent,
                 };
-                let ends = ends.clone();
-                // The request may have been answered without this send.
-                let tell = move |end| drop(ends.send(end));
-                sends.push(start_send(traffic, spec, tell));
+                let result_sender = result_sender.clone();
+                // The send fails if the request was answered without this result.
+                let on_result = move |result| drop(result_sender.send(result));
+                sends.push(start_send(traffic, spec, on_result));
                 continue;
             }
             FetchStep::Wait { until_us } => until_us.unwrap_or(end_us).min(end_us),
@@ -84,9 +87,9 @@
             }
         };
         let wait = Duration::from_micros(until_us.saturating_sub(now_us));
-        let Ok(Some(end)) = timeout(wait, ended.recv()).await else { continue };
-        fetch.record_result(end.try_result());
-        if let UpstreamResult::Answered(answer) = end {
+        let Ok(Some(result)) = timeout(wait, results.recv()).await else { continue };
+        fetch.record_result(result.try_result());
+        if let UpstreamResult::Answered(answer) = result {
             if !is_failure(answer.status) || !route.is_idempotent {
                 sends.detach();
                 return forward_answer(answer);
@@ -96,7 +99,7 @@
     }
 }
 
-/// Whether a request for which no replica is free at this moment waits for one.
+/// Decides whether a request waits for a replica when none is usable at this moment.
 fn admit_without_replica(
     traffic: &TrafficState,
     request: &CallerRequest,
@@ -112,7 +115,7 @@
     admit(now_us, request.arrived_us, request.goal_deadline_us(route), soonest_us)
 }
 
-/// The final answer at the end of the caller's or the route's time.
+/// Returns the final answer at the deadline of the caller or the timeout of the route.
 fn build_timeout_answer(
     traffic: &TrafficState,
     fetch: &Fetch,
@@ -125,19 +128,24 @@
     refusal_answer(&traffic.metrics, refusal, None)
 }
 
-/// Logs why a request cannot be sent to any replica more, as its answer does not say.
+/// Logs why a request cannot be sent to another replica; the answer does not say it.
 fn log_failure(request: &CallerRequest, fetch: &Fetch, failure: FetchFailure) {
     let (request, service, last) = (&request.attempt_id, fetch.service(), fetch.last_replica());
-    let FetchFailure { reason: end, may_have_run } = failure;
-    log::info!(request:%, service:%, end:?, last, may_have_run; "no replica is left to ask");
+    let FetchFailure { reason, may_have_run } = failure;
+    log::info!(
+        request:%, service:%, end:? = reason, last, may_have_run;
+        "no replica is left to ask"
+    );
 }
 
-/// The final answer when nothing more can be done: a replica's own failure before this node's.
+/// Returns the final answer when no replica can be tried any more.
+///
+/// A failure answered by a replica is preferred to a refusal of this node.
 fn build_failure_answer(
     traffic: &TrafficState,
     request: &CallerRequest,
     fetch: &Fetch,
-    usual_us: u64,
+    expected_us: u64,
     failure: FetchFailure,
     failure_answer: Option<UpstreamAnswer>,
 ) -> Answer {
@@ -147,6 +155,6 @@
     let refusal = if failure.may_have_run { Refusal::Lost } else { Refusal::NotRun };
     let now_us = traffic.clock.now_us();
     let soonest_us = traffic.pool.borrow().usable_in_us(fetch.service(), now_us);
-    let retry_after_ms = retry_delay_ms(soonest_us, usual_us, &request.attempt_id);
+    let retry_after_ms = retry_delay_ms(soonest_us, expected_us, &request.attempt_id);
     refusal_answer(&traffic.metrics, refusal, Some(retry_after_ms))
 }
--- a/crates/sassafrasproxy-gateway/src/traffic.rs
+++ b/crates/sassafrasproxy-gateway/src/traffic.rs
@@ -1,4 +1,4 @@
-//! The traffic thread's state.
+//! Holds the state of the traffic thread.
 
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -26,17 +26,19 @@
 use crate::rollouts::TRIAL_INTERVAL;
 use crate::view::GatewayView;
 
-/// How many nodes are counted on before any is known, for each node's share of what all share.
+/// The number of nodes assumed before any are known, for the share of each node in common limits.
 const ASSUMED_MIN_NODES: usize = 8;
 
-/// How long after its start a node waits for relays before it connects to other failure domains
-/// itself, in microseconds: peers are heard of within two heartbeats of half a second.
+/// The time after its start for which a node waits for relays before it connects to other failure
+/// domains itself, in microseconds.
+///
+/// A node hears of its peers within two heartbeats of half a second.
 const RELAY_DISCOVERY_WAIT_US: u64 = 1_000_000;
 
-/// How long a connection made ahead of need may take.
+/// The timeout of a preconnect attempt.
 const PRECONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Everything that serving requests needs; lives on the traffic thread.
+/// The state that serving requests needs; it stays on the traffic thread.
 pub struct TrafficState {
     pub clock: Clock,
     settings: RefCell<Arc<GatewaySettings>>,
@@ -49,38 +51,38 @@
     pub metrics: Arc<GatewayMetrics>,
     pub caller_delays: RefCell<CallerDelayEstimator>,
     request_quarantine: RefCell<RequestQuarantine>,
-    /// Turned true when a caller is refused because no configuration is known yet.
+    /// Set to true when a caller is refused because no configuration is known yet.
     pub configuration_needed: watch::Sender<bool>,
-    /// Where deaths that this thread sees go, so that peers hear of them.
+    /// Carries the crashes that this thread detects to the control thread, which tells the peers.
     crash_reports: mpsc::UnboundedSender<CrashReport>,
     route_latencies: RefCell<IndexMap<EcoString, RouteLatencies>>,
     split_round_robins: RefCell<IndexMap<EcoString, WeightedRoundRobin>>,
-    /// Told when this node has a part in the trial of a version.
+    /// Notified when this node takes part in the trial of a version.
     trial_started: Notify,
-    /// Whether callers should move on to other nodes.
+    /// Whether this node is leaving and callers should use other nodes.
     pub is_leaving: Cell<bool>,
-    /// Requests that are being served.
+    /// The number of requests in progress.
     pub active_requests: Cell<usize>,
-    /// Connections of callers that are open.
+    /// The number of open caller connections that shutdown waits for.
     pub open_connections: Cell<usize>,
-    /// The most nodes that this process has seen at once.
+    /// The maximum number of nodes that this process has seen at once.
     ///
-    /// Guards against a partition, in which each side would see few nodes and take the share of
-    /// the others in what all nodes must keep together.
+    /// The maximum keeps a node from taking the share of others in common limits during a
+    /// partition, when each side sees only some of the nodes.
     max_node_count: Cell<usize>,
-    /// The most nodes at once that callers are sent to, for the same reason.
+    /// The maximum number of ingress nodes at once, for the same reason.
     max_ingress_node_count: Cell<usize>,
-    /// Whether callers are sent here.
+    /// Whether this is an ingress node.
     is_ingress: Cell<bool>,
-    /// Where callers connect to this node.
+    /// The address at which callers connect to this node.
     callers_address: EcoString,
-    /// Where this node starts in the turn of splits, 0 to 1.
+    /// The position at which this node starts the round robin of splits, from 0 to 1.
     split_offset: f64,
     started_us: u64,
 }
 
 impl TrafficState {
-    /// The state before any view.
+    /// Returns the state before the first view.
     pub fn new(
         clock: Clock,
         settings: Arc<GatewaySettings>,
@@ -118,7 +120,7 @@
         }
     }
 
-    /// Takes every new view in, for as long as there is a control thread.
+    /// Applies every new view until the control thread ends.
     pub async fn follow_views(self: Rc<Self>, mut views: watch::Receiver<GatewayView>) {
         loop {
             let view = views.borrow_and_update().clone();
@@ -129,7 +131,7 @@
         }
     }
 
-    /// Takes changed settings in, for as long as there is a control thread.
+    /// Applies changed settings until the control thread ends.
     pub async fn follow_settings(
         self: Rc<Self>,
         mut changes: watch::Receiver<Arc<GatewaySettings>>,
@@ -142,71 +144,71 @@
         }
     }
 
-    /// Takes in what peers report of replicas that died, for as long as there is a control thread.
-    pub async fn follow_crashes(self: Rc<Self>, mut heard: mpsc::UnboundedReceiver<CrashReport>) {
-        while let Some(report) = heard.recv().await {
+    /// Records the crash reports of peers until the control thread ends.
+    pub async fn follow_crashes(self: Rc<Self>, mut reports: mpsc::UnboundedReceiver<CrashReport>) {
+        while let Some(report) = reports.recv().await {
             self.request_quarantine.borrow_mut().add_report(self.clock.now_us(), report);
         }
     }
 
-    /// Tells the control thread what was counted in trials, for as long as there is one.
-    pub async fn report_trials(self: Rc<Self>, counted: mpsc::UnboundedSender<Vec<TrialReport>>) {
-        let mut pace = ReportThrottle::default();
+    /// Sends trial reports to the control thread until that thread ends.
+    pub async fn report_trials(self: Rc<Self>, sender: mpsc::UnboundedSender<Vec<TrialReport>>) {
+        let mut throttle = ReportThrottle::default();
         loop {
             let reports = self.pool.borrow().trial_reports();
             if reports.is_empty() {
                 self.trial_started.notified().await;
                 continue;
             }
-            let due = pace.take_due(self.clock.now_us(), reports);
-            if !due.is_empty() && counted.send(due).is_err() {
+            let due = throttle.take_due(self.clock.now_us(), reports);
+            if !due.is_empty() && sender.send(due).is_err() {
                 return log::error!("the control thread has ended, trials are told to nobody");
             }
             sleep(TRIAL_INTERVAL).await;
         }
     }
 
-    /// Notes that a replica died under a request, and tells the peers.
+    /// Records that a replica crashed while it ran a request; a new report also goes to the peers.
     pub fn record_crash(&self, report: CrashReport) {
-        let is_news = self.request_quarantine.borrow_mut().add_report(self.clock.now_us(), report);
-        if is_news {
-            // Without a control thread there is nobody to tell.
+        let is_new = self.request_quarantine.borrow_mut().add_report(self.clock.now_us(), report);
+        if is_new {
+            // The send fails if the control thread has ended.
             let _ = self.crash_reports.send(report);
         }
     }
 
-    /// Whether a request has crashed too many replicas to be sent to another.
+    /// Whether a request has crashed so many replicas that it is not sent to any more.
     pub fn is_quarantined(&self, fingerprint: u64) -> bool {
         self.request_quarantine.borrow_mut().is_quarantined(self.clock.now_us(), fingerprint)
     }
 
-    /// The settings in force.
+    /// Returns the current settings.
     pub fn settings(&self) -> Arc<GatewaySettings> {
         self.settings.borrow().clone()
     }
 
-    /// The catalogue in force.
+    /// Returns the current catalogue.
     pub fn catalogue(&self) -> Arc<Catalogue> {
         self.view.borrow().catalogue.clone()
     }
 
-    /// Ends at a time of this node's clock, in microseconds.
+    /// Sleeps until a time of this node's clock, in microseconds.
     pub async fn sleep_until(&self, at_us: u64) {
         sleep(Duration::from_micros(at_us.saturating_sub(self.clock.now_us()))).await;
     }
 
-    /// What bounds a fetch of a route, by the latencies that the route has shown.
+    /// Returns the limits of a fetch of a route, derived from the measured latencies of the route.
     pub fn fetch_plan(&self, route: &Route) -> FetchPlan {
         let goal_us = route.goal_ms * US_PER_MS;
         let fanout = match route.target {
             RouteTarget::Gather(_) => Fanout::Shards,
             RouteTarget::Service(_) | RouteTarget::Split(_) => Fanout::Single,
         };
-        let mut times = self.route_latencies.borrow_mut();
-        let times = times.entry(route.name.clone()).or_default().send_timing(goal_us, fanout);
+        let mut latencies = self.route_latencies.borrow_mut();
+        let timing = latencies.entry(route.name.clone()).or_default().send_timing(goal_us, fanout);
         FetchPlan {
-            expected_us: times.expected_us,
-            hedge_after_us: times.hedge_after_us,
+            expected_us: timing.expected_us,
+            hedge_after_us: timing.hedge_after_us,
             max_attempts: route.max_attempts,
             is_idempotent: route.is_idempotent,
             budget_shares: budget_shares(
@@ -218,7 +220,7 @@
         }
     }
 
-    /// Counts a send to a replica.
+    /// Counts a send to a replica in the metrics.
     pub fn count_send(&self, cause: SendCause) {
         let kind = match cause {
             SendCause::First => "first",
@@ -228,23 +230,23 @@
         self.metrics.sends.get_or_create(&KindLabel::new(kind)).inc();
     }
 
-    /// The times of a route by its name, if it has shown any.
+    /// Returns the send timing of a fan-out route by its name; `None` if the route is unknown.
     pub fn route_send_timing(&self, route: &EcoString) -> Option<SendTiming> {
         let catalogue = self.catalogue();
         let route = catalogue.routes.routes().find(|one| one.name == *route)?;
         let goal_us = route.goal_ms * US_PER_MS;
-        let mut times = self.route_latencies.borrow_mut();
-        let times = times.entry(route.name.clone()).or_default();
-        Some(times.send_timing(goal_us, Fanout::Shards))
+        let mut latencies = self.route_latencies.borrow_mut();
+        let latencies = latencies.entry(route.name.clone()).or_default();
+        Some(latencies.send_timing(goal_us, Fanout::Shards))
     }
 
-    /// Notes how long an answer of a route took.
+    /// Records the latency of an answer of a route, in microseconds.
     pub fn record_latency(&self, route: &EcoString, took_us: u64) {
-        let mut times = self.route_latencies.borrow_mut();
-        times.entry(route.clone()).or_default().record(took_us);
+        let mut latencies = self.route_latencies.borrow_mut();
+        latencies.entry(route.clone()).or_default().record(took_us);
     }
 
-    /// The service of a split whose turn it is.
+    /// Returns the next service of a split in its weighted round robin.
     pub fn choose_split_service(
         &self,
         route: &EcoString,
@@ -259,23 +261,23 @@
         let catalogue = view.catalogue.clone();
         self.max_node_count
             .set(self.max_node_count.get().max(view.nodes.len()).max(view.registered_node_count));
-        let senders =
+        let ingress_nodes =
             count_large_nodes(&view.nodes).max(ASSUMED_MIN_NODES).min(self.max_node_count.get());
-        self.max_ingress_node_count.set(self.max_ingress_node_count.get().max(senders));
-        self.pool.borrow_mut().update(now_us, &catalogue, senders);
+        self.max_ingress_node_count.set(self.max_ingress_node_count.get().max(ingress_nodes));
+        self.pool.borrow_mut().update(now_us, &catalogue, ingress_nodes);
         if !catalogue.trial_grants.is_empty() {
             self.trial_started.notify_one();
         }
         self.relays.update(now_us, &view.nodes, &self.callers_address);
         self.metrics.configuration_version.set(catalogue.version as i64);
         self.metrics.members.set(view.nodes.len() as i64);
-        let open = catalogue.replicas.values().filter(|replica| replica.is_eligible).count();
-        self.metrics.open_replicas.set(open as i64);
+        let eligible = catalogue.replicas.values().filter(|replica| replica.is_eligible).count();
+        self.metrics.open_replicas.set(eligible as i64);
         self.connections.borrow_mut().retain(|id| catalogue.replicas.contains_key(id));
         self.preconnects.borrow_mut().retain(|id| catalogue.replicas.contains_key(id));
         self.view.replace(view);
-        let was_sender = self.is_ingress.replace(self.is_in_directory());
-        if self.is_ingress.get() && !was_sender {
+        let was_ingress = self.is_ingress.replace(self.is_in_directory());
+        if self.is_ingress.get() && !was_ingress {
             self.retry_budget.borrow_mut().restart_ramp(now_us);
         }
         if !self.is_ingress.get() {
@@ -291,61 +293,61 @@
         }
     }
 
-    /// Whether callers of this node's failure domain are sent here.
+    /// Whether the directory sends callers of this node's failure domain here.
     ///
-    /// A node that is not named serves few requests and makes connections when it needs them: in a
-    /// fleet where few are named, the others would hold most of the connections.
+    /// A node that is not in the directory serves few requests and opens connections on demand.
+    /// Where few of the nodes are in the directory, the others would hold most of the connections.
     fn is_in_directory(&self) -> bool {
         let domain = self.settings().failure_domain.clone();
         let nodes = &self.view.borrow().nodes;
-        let me = nodes.iter().find(|node| node.address == self.callers_address);
-        let largest = directory_addresses(nodes, &IndexMap::new(), Some(&domain));
-        me.is_some_and(|me| largest.contains(&me.address))
+        let own = nodes.iter().find(|node| node.address == self.callers_address);
+        let listed = directory_addresses(nodes, &IndexMap::new(), Some(&domain));
+        own.is_some_and(|own| listed.contains(&own.address))
     }
 
-    /// Whether this node itself sends to the replicas of a failure domain: to those of its own,
-    /// and of others where no relay is.
+    /// Whether this node sends directly to the replicas of a failure domain: in its own failure
+    /// domain, and in others without a relay.
     ///
-    /// Guards against a start of all nodes at once while replicas still hold the connections of
-    /// the processes before: eight new ones to each replica were reset in their hundreds, and
-    /// requests with them.
+    /// Guards against resets when all nodes restart at once and replicas still hold the connections
+    /// of the previous processes: with eight new connections to each replica, the replicas reset
+    /// hundreds of them, and the requests on them failed.
     fn sends_directly_to(&self, now_us: u64, domain: &str) -> bool {
-        let is_settled = now_us >= self.started_us + RELAY_DISCOVERY_WAIT_US;
-        *domain == self.settings().failure_domain || (is_settled && !self.relays.has_relay(domain))
+        let has_waited = now_us >= self.started_us + RELAY_DISCOVERY_WAIT_US;
+        *domain == self.settings().failure_domain || (has_waited && !self.relays.has_relay(domain))
     }
 
-    /// Keeps a connection to a replica whose last answer, if any, is complete.
+    /// Returns a connection to the pool; its last answer, if any, is complete.
     pub fn return_connection(
         &self,
         replica: &EcoString,
         sender: UpstreamConnection,
         keep_alive_ms: Option<u64>,
     ) {
-        let (nodes, is_sender) = (self.max_node_count.get(), self.is_ingress.get());
-        let limit = self.pool.borrow().max_idle_connections(replica, nodes, is_sender);
+        let (nodes, is_ingress) = (self.max_node_count.get(), self.is_ingress.get());
+        let limit = self.pool.borrow().max_idle_connections(replica, nodes, is_ingress);
         let now_us = self.clock.now_us();
         self.connections.borrow_mut().put(replica, sender, now_us, keep_alive_ms, limit);
     }
 
-    /// Makes a connection to a replica before the first request needs it.
+    /// Opens a connection to a replica before the first request needs it.
     ///
-    /// A handshake takes a replica some milliseconds; a new set of shards would pay them on every
-    /// shard of its first query.
+    /// A handshake takes a replica a few milliseconds. Without this, the first query to a new set
+    /// of shards would spend them on every shard.
     async fn preconnect(self: Rc<Self>, entry: Arc<ReplicaEntry>) {
-        let is_open =
+        let is_eligible =
             |id: &str| self.catalogue().replicas.get(id).is_some_and(|replica| replica.is_eligible);
-        while is_open(&entry.id) && !self.connections.borrow().has_idle(&entry.id) {
+        while is_eligible(&entry.id) && !self.connections.borrow().has_idle(&entry.id) {
             let error = match connect(entry.address, PRECONNECT_TIMEOUT, Duration::ZERO).await {
                 Ok(sender) => {
                     return self.return_connection(&entry.id, sender, None);
                 }
                 Err(error) => error,
             };
-            log::debug!(replica:% = entry.id, error:%; "a replica cannot be reached yet");
+            log::debug!(replica:% = entry.id, error:%; "failed to preconnect to a replica");
             let step = self.preconnects.borrow_mut().record_failure(&entry.id, entry.born_ms);
             match step {
-                PreconnectStep::Retry { backoff_us: pause_us } => {
-                    sleep(Duration::from_micros(pause_us)).await;
+                PreconnectStep::Retry { backoff_us } => {
+                    sleep(Duration::from_micros(backoff_us)).await;
                 }
                 PreconnectStep::GiveUp => return,
             }
--- a/crates/sassafrasproxy-gateway/src/upstream.rs
+++ b/crates/sassafrasproxy-gateway/src/upstream.rs
@@ -1,4 +1,4 @@
-//! One send to an upstream replica.
+//! Sends one request to an upstream replica.
 
 use std::rc::Rc;
 use std::sync::Arc;
@@ -19,54 +19,56 @@
 use crate::request::CallerRequest;
 use crate::traffic::TrafficState;
 
-/// The longest that a new connection may take.
+/// The timeout of a connection attempt.
 ///
-/// Callers allow a second for theirs; a replica that takes half of that is as good as away.
+/// Callers allow one second for their own connections; a replica that needs half of that counts
+/// as unreachable.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// How long a new connection must stay quiet before it carries a request that may run once only.
+/// The time for which a new connection must stay open before it carries a non-idempotent request.
 ///
-/// A replica that is over its cap resets a connection when it would accept it: some milliseconds and
-/// the way between failure domains later.
+/// A replica over its connection limit resets a connection when it accepts it: a few milliseconds
+/// plus the network delay between failure domains after the connect.
 const RESET_DETECTION_TIME: Duration = Duration::from_millis(10);
 
-/// How long past its deadline a replica's answer is waited for.
+/// The time for which a send waits for the answer past its deadline.
 ///
-/// A replica answers at the deadline itself; this covers the way back and a short queue.
+/// A replica answers at the deadline at the latest; the margin covers the network delay and a
+/// short queue.
 const ANSWER_MARGIN_US: u64 = 50_000;
 
-/// A replica's whole answer.
+/// The complete answer of a replica.
 #[derive(Debug, Clone)]
 pub struct UpstreamAnswer {
     /// The status.
     pub status: StatusCode,
-    /// The headers as they came.
+    /// The headers as received.
     pub headers: HeaderMap,
-    /// What the headers say of the exchange.
+    /// The decoded headers that concern the proxy.
     pub head: UpstreamHead,
     /// The body.
     pub body: Bytes,
 }
 
-/// How a send ended.
+/// The result of a send.
 #[derive(Debug)]
 pub enum UpstreamResult {
-    /// The replica answered for itself, with a success or a failure.
+    /// The replica answered, with a success or a failure.
     Answered(UpstreamAnswer),
-    /// The replica says that it did not run the request.
+    /// The replica answered that it did not run the request.
     NotRun,
-    /// Another replica has the address; it did not run the request.
+    /// Another replica answered at the address; it did not run the request.
     Misdirected,
     /// Nothing was sent.
     Unsent,
-    /// It may have run, and no usable answer came.
+    /// The request may have run, but no usable answer arrived.
     Lost,
-    /// It may have run, and nothing came for as long as it could wait.
+    /// The request may have run, but no answer arrived before the timeout.
     TimedOut,
 }
 
 impl UpstreamResult {
-    /// What it means for the fetch.
+    /// Returns the result for the fetch.
     pub fn try_result(&self) -> SendResult {
         match self {
             Self::Answered(answer) if is_failure(answer.status) => SendResult::MayHaveRun,
@@ -77,17 +79,17 @@
         }
     }
 
-    /// What the replica said of its load: requests that it runs and queues.
+    /// Returns the load that the replica reported: the number of running and queued requests.
     pub fn reported_load(&self) -> Option<u32> {
         let Self::Answered(answer) = self else { return None };
         answer
             .head
             .running_count
             .zip(answer.head.queued_count)
-            .map(|(running, waiting)| running + waiting)
+            .map(|(running, queued)| running + queued)
     }
 
-    /// What it means for the replica.
+    /// Returns the outcome for the replica.
     pub fn outcome(&self) -> SendOutcome {
         match self {
             Self::Answered(answer) if is_failure(answer.status) => SendOutcome::Faulty,
@@ -101,31 +103,31 @@
     }
 }
 
-/// Whether a replica's answer is a failure that another replica may not have.
+/// Whether a status is a failure that another replica may not have.
 pub fn is_failure(status: StatusCode) -> bool {
     status.is_server_error()
 }
 
-/// What a send needs.
+/// The parameters of a send.
 pub struct SendSpec {
     /// The caller's request.
     pub request: Rc<CallerRequest>,
-    /// The route, for its latencies.
+    /// The name of the route, to record its latencies.
     pub route: EcoString,
     /// The replica.
     pub replica: Arc<ReplicaEntry>,
-    /// The send, as the pool knows it.
+    /// The id of the send in the pool.
     pub send_id: SendId,
-    /// When the replica stops, in microseconds.
+    /// The time at which the replica must stop, in microseconds of this node's clock.
     pub deadline_us: u64,
-    /// Whether replicas of other services run the request at the same time.
+    /// Whether replicas of several services run the request at the same time.
     pub is_fan_out: bool,
-    /// Whether running it twice does no harm.
+    /// Whether the request may run more than once.
     pub is_idempotent: bool,
 }
 
 impl SendSpec {
-    /// Logs why a send brought nothing, with what it was.
+    /// Logs why the send failed, with its request and replica.
     fn log_failure(&self, error: &dyn std::fmt::Display) {
         let (request, replica) = (&self.request.attempt_id, &self.replica.id);
         log::info!(request:%, replica:%, error:%; "a send failed");
@@ -134,8 +136,8 @@
 
 /// The sends of one request.
 ///
-/// Dropped with the request when its caller leaves: then the replicas must stop too, which they
-/// do when their connections close.
+/// If the caller disconnects, this is dropped with the request and aborts the sends. That closes
+/// their connections, which makes the replicas stop.
 #[derive(Debug, Default)]
 pub struct SendTasks {
     tasks: Vec<AbortHandle>,
@@ -147,7 +149,7 @@
         self.tasks.push(task);
     }
 
-    /// Lets the sends that are still under way end by themselves.
+    /// Lets the sends in progress continue after this is dropped.
     pub fn detach(&mut self) {
         self.tasks.clear();
     }
@@ -161,30 +163,31 @@
     }
 }
 
-/// Starts a send in a task of its own, which tells its end and keeps the connection.
+/// Starts a send in a task, which calls `on_result` at the end and returns the connection to the
+/// pool.
 ///
 /// The task outlives a request that is answered without it: closing its connection would make
 /// the replica spend a slot on a new one.
 pub fn start_send(
     traffic: &Rc<TrafficState>,
     spec: SendSpec,
-    tell: impl FnOnce(UpstreamResult) + 'static,
+    on_result: impl FnOnce(UpstreamResult) + 'static,
 ) -> AbortHandle {
     let traffic = traffic.clone();
     let task = spawn_local(async move {
-        let noted = SendGuard::new(&traffic, spec.replica.id.clone(), spec.send_id);
+        let guard = SendGuard::new(&traffic, spec.replica.id.clone(), spec.send_id);
         let started_us = traffic.clock.now_us();
-        let end = run_send(&traffic, &spec).await;
-        if end.try_result() == SendResult::Answered {
+        let result = run_send(&traffic, &spec).await;
+        if result.try_result() == SendResult::Answered {
             traffic.record_latency(&spec.route, traffic.clock.now_us() - started_us);
         }
-        noted.finish(end.outcome(), end.reported_load());
-        tell(end);
+        guard.finish(result.outcome(), result.reported_load());
+        on_result(result);
     });
     task.abort_handle()
 }
 
-/// Tells the pool how a send ended, also when its task is aborted.
+/// Reports the outcome of a send to the pool, also if its task is aborted.
 pub struct SendGuard {
     traffic: Rc<TrafficState>,
     replica: EcoString,
@@ -194,16 +197,16 @@
 }
 
 impl SendGuard {
-    /// A send that counts as cancelled until its end is known.
+    /// Returns the guard of a send, which counts as cancelled until it is finished.
     pub fn new(traffic: &Rc<TrafficState>, replica: EcoString, send_id: SendId) -> Self {
         let outcome = SendOutcome::Cancelled;
         Self { traffic: traffic.clone(), replica, send_id, outcome, reported_load: None }
     }
 
-    /// Notes the end, and the replica's word on its load.
-    pub fn finish(mut self, outcome: SendOutcome, reported: Option<u32>) {
+    /// Records the outcome, and the load that the replica reported.
+    pub fn finish(mut self, outcome: SendOutcome, reported_load: Option<u32>) {
         self.outcome = outcome;
-        self.reported_load = reported;
+        self.reported_load = reported_load;
     }
 }
 
@@ -231,7 +234,7 @@
     let sender = match ready_connection(traffic, spec).await {
         Ok(sender) => sender,
         Err(error) => {
-            spec.log_failure(&format_args!("no connection: {error}"));
+            spec.log_failure(&format_args!("failed to connect: {error}"));
             return UpstreamResult::Unsent;
         }
     };
@@ -243,19 +246,19 @@
     }
     let limit = Duration::from_micros(left_us + ANSWER_MARGIN_US);
     match timeout(limit, send_request(traffic, spec, sender, left_us / US_PER_MS)).await {
-        Ok(end) => end,
+        Ok(result) => result,
         Err(_) => {
-            spec.log_failure(&format_args!("silent for {limit:?}"));
+            spec.log_failure(&format_args!("no answer within {limit:?}"));
             traffic.connections.borrow_mut().drop_idle(id);
             UpstreamResult::TimedOut
         }
     }
 }
 
-/// Finds out whether a replica whose connection broke off under a request has died.
+/// Checks whether a replica whose connection broke during a request has crashed, and reports it.
 ///
-/// An answer that is lost on its way breaks a connection off, too, but then the replica takes
-/// new ones. Where several replicas run the request at once, their deaths count as one.
+/// An answer that is lost in the network also breaks the connection, but then the replica accepts
+/// new ones. If several replicas run the request at once, their crashes count as one.
 fn check_for_crash(traffic: &Rc<TrafficState>, spec: &SendSpec) {
     let replica = if spec.is_fan_out { "" } else { spec.replica.id.as_str() };
     let report = CrashReport::new(spec.request.fingerprint, &spec.request.attempt_id, replica);
@@ -266,21 +269,21 @@
         if let Err(error) = connected
             && error.is_process_gone()
         {
-            log::warn!(request:%, replica:%, error:%; "a replica died under a request");
+            log::warn!(request:%, replica:%, error:%; "a replica crashed while it ran a request");
             traffic.record_crash(report);
         }
     });
 }
 
-/// A connection that can take a request now: a kept one, or a new one.
+/// Returns a connection that is ready for a request: an idle one, or else a new one.
 async fn ready_connection(
     traffic: &TrafficState,
     spec: &SendSpec,
 ) -> Result<UpstreamConnection, ConnectError> {
     loop {
         let now_us = traffic.clock.now_us();
-        let kept = traffic.connections.borrow_mut().take(&spec.replica.id, now_us);
-        let Some(mut sender) = kept else { break };
+        let idle = traffic.connections.borrow_mut().take(&spec.replica.id, now_us);
+        let Some(mut sender) = idle else { break };
         if sender.ready().await.is_ok() {
             return Ok(sender);
         }
@@ -319,14 +322,15 @@
     let body = match body.collect().await {
         Ok(body) => body.to_bytes(),
         Err(error) => {
-            spec.log_failure(&format_args!("the answer broke off: {error}"));
+            spec.log_failure(&format_args!("the connection broke during the answer: {error}"));
             return UpstreamResult::Lost;
         }
     };
     let head = decode_upstream_head(parts.status, &parts.headers);
-    // An answer to an earlier request that came late: the connection is off by one for good.
+    // A late answer to an earlier request: the connection stays one answer behind, so it is not
+    // reused.
     if head.attempt_id.as_ref().is_some_and(|echoed| *echoed != request.attempt_id) {
-        spec.log_failure(&"the answer belongs to another request");
+        spec.log_failure(&"the answer echoes the id of another attempt");
         return UpstreamResult::Lost;
     }
     if !head.is_closing {
@@ -339,7 +343,7 @@
         return UpstreamResult::NotRun;
     }
     if head.stamp.is_none() {
-        spec.log_failure(&"an answer without a signature");
+        spec.log_failure(&"the answer has no replica stamp");
         return UpstreamResult::Lost;
     }
     UpstreamResult::Answered(UpstreamAnswer {
