--- a/crates/sassafrasproxy-gateway/src/answer.rs
+++ b/crates/sassafrasproxy-gateway/src/answer.rs
@@ -1,4 +1,4 @@
-//! Answers to callers.
+//! Builds the answers to callers.
 
 use bytes::Bytes;
 use http::header::CONTENT_TYPE;
@@ -12,32 +12,32 @@
 use crate::metrics::{GatewayMetrics, KindLabel};
 use crate::upstream::UpstreamAnswer;
 
-/// An answer, ready to be sent.
+/// An answer that is ready to be sent.
 pub type Answer = Response<Full<Bytes>>;
 
-/// Why this node answers a request itself.
+/// The reason why this node answers a request itself.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Refusal {
-    /// The request is wrong.
+    /// The request is malformed.
     BadRequest,
-    /// No route is for it.
+    /// No route matches the request.
     NoRoute,
-    /// Its body is larger than allowed.
+    /// The body of the request is larger than allowed.
     TooLarge,
     /// No configuration is known yet.
     NoConfiguration,
-    /// It ran nowhere, as it has crashed replicas before.
+    /// The request was not run, because it has crashed replicas before.
     Quarantined,
-    /// It ran nowhere, and may be sent again.
+    /// The request was not run and may be sent again.
     NotRun,
-    /// It may have run, and no answer came in time.
+    /// The request may have run, but no answer arrived in time.
     TimedOut,
-    /// It may have run, and its answer is lost.
+    /// The request may have run, but its answer was lost.
     Lost,
 }
 
 impl Refusal {
-    /// The reason as logs and metrics give it.
+    /// Returns the name of the reason in logs, metrics and answer bodies.
     pub fn reason(self) -> &'static str {
         match self {
             Self::BadRequest => "bad_request",
@@ -65,7 +65,7 @@
     }
 }
 
-/// An answer of this node's own, with the time to come back where that helps.
+/// Returns a refusal by this node, with a retry delay in milliseconds if a retry may help.
 pub fn refusal_answer(
     metrics: &GatewayMetrics,
     refusal: Refusal,
@@ -75,7 +75,7 @@
     let body = json!({ "reason": refusal.reason(), "retry_after_ms": retry_after_ms });
     let mut answer = Response::new(Full::from(body.to_string()));
     *answer.status_mut() = refusal.status();
-    // For the log line of the request.
+    // The log line of the request reads the reason from the extensions.
     answer.extensions_mut().insert(refusal);
     answer.headers_mut().insert(CONTENT_TYPE, HeaderValue::from_static("application/json"));
     if let Some(retry_after_ms) = retry_after_ms {
@@ -84,7 +84,7 @@
     answer
 }
 
-/// A replica's answer, unchanged but for what concerns its connection only.
+/// Returns the answer of a replica without the headers that concern only its connection.
 pub fn forward_answer(upstream: UpstreamAnswer) -> Answer {
     let mut answer = Response::new(Full::new(upstream.body));
     *answer.status_mut() = upstream.status;
@@ -92,7 +92,7 @@
     answer
 }
 
-/// The answer made of the parts of many shards.
+/// Returns the answer to a gather, with the merged records and their coverage.
 pub fn merged_answer(records: Vec<u8>, summary: &CoverageSummary) -> Answer {
     let mut answer = Response::new(Full::from(records));
     write_coverage_summary(answer.headers_mut(), summary);
@@ -100,6 +100,6 @@
 }
 
 fn forwarded_headers(headers: HeaderMap) -> HeaderMap {
-    let kept = headers.iter().filter(|(name, _)| is_forwarded(name));
-    kept.map(|(name, value)| (name.clone(), value.clone())).collect()
+    let forwarded = headers.iter().filter(|(name, _)| is_forwarded(name));
+    forwarded.map(|(name, value)| (name.clone(), value.clone())).collect()
 }
--- a/crates/sassafrasproxy-gateway/src/caller_server.rs
+++ b/crates/sassafrasproxy-gateway/src/caller_server.rs
@@ -1,4 +1,4 @@
-//! Serving callers.
+//! Serves the requests of callers.
 
 use std::convert::Infallible;
 use std::rc::Rc;
@@ -18,16 +18,17 @@
 use crate::traffic::TrafficState;
 use crate::{gather, single_replica};
 
-/// When a caller may come back to a node that knows no configuration yet, in milliseconds.
+/// The retry delay for callers of a node that knows no configuration yet, in milliseconds.
 ///
-/// One read of the store takes far less, on a slow VM or with the store just back about as long.
+/// One read of the store usually takes far less; on a slow VM, or when the store has just become
+/// available again, it takes about this long.
 const NO_CONFIGURATION_RETRY_MS: u64 = 200;
 
-/// When a request that crashes replicas may come back, in milliseconds: when the reports on it
-/// have expired.
+/// The retry delay for a quarantined request, in milliseconds: the time after which the crash
+/// reports on it have expired.
 const QUARANTINE_RETRY_MS: u64 = 30_000;
 
-/// Serves one request.
+/// Serves one request of a caller; every failure becomes an answer.
 pub async fn serve(
     traffic: Rc<TrafficState>,
     request: Request<Incoming>,
@@ -43,7 +44,7 @@
                     Some(NO_CONFIGURATION_RETRY_MS)
                 }
                 Refusal::Quarantined => Some(QUARANTINE_RETRY_MS),
-                // Coming back would not help, or the answer says so itself.
+                // A retry would not help, or the delay is already in the answer.
                 Refusal::BadRequest
                 | Refusal::NoRoute
                 | Refusal::TooLarge
@@ -60,7 +61,7 @@
     Ok(answer)
 }
 
-/// Counts a request for as long as it is served, also when its caller leaves.
+/// Counts a request as active until dropped, also if its caller disconnects.
 struct ActiveRequestGuard {
     traffic: Rc<TrafficState>,
 }
@@ -79,31 +80,37 @@
     }
     let (parts, body) = request.into_parts();
     let head = decode_caller_head(&parts.headers).map_err(|error| {
-        log::info!(error:%; "a request is refused");
+        log::info!(error:%; "refused a request with malformed headers");
         Refusal::BadRequest
     })?;
     let body = read_body(&catalogue, body).await?;
-    // The configuration may have changed while the body came.
+    // The configuration may have changed while the body was read.
     let catalogue = traffic.catalogue();
     let route = catalogue.routes.find_route(&head.host, parts.uri.path());
     let Some(route) = route.cloned() else {
         let (request, host, path) = (&head.attempt_id, &head.host, parts.uri.path());
-        log::info!(request:%, host:%, path, version = catalogue.version; "no route");
+        log::info!(
+            request:%, host:%, path, version = catalogue.version;
+            "refused a request that no route matches"
+        );
         return Err(Refusal::NoRoute);
     };
     let is_first = parts.extensions.get::<FirstRequest>().is_some();
-    let gone_us = head.deadline_ms.map_or(0, |deadline_ms| {
-        let time = CallerDeadline {
+    let elapsed_us = head.deadline_ms.map_or(0, |deadline_ms| {
+        let deadline = CallerDeadline {
             deadline_ms,
             timeout_ms: route.timeout_ms,
             is_first_on_connection: is_first,
         };
-        traffic.caller_delays.borrow_mut().record_request(&route.name, time)
+        traffic.caller_delays.borrow_mut().record_request(&route.name, deadline)
     });
-    let request = Rc::new(CallerRequest::new(head, parts, body, arrived_us, gone_us));
+    let request = Rc::new(CallerRequest::new(head, parts, body, arrived_us, elapsed_us));
     if traffic.is_quarantined(request.fingerprint) {
         let request = &request.attempt_id;
-        log::info!(request:%, route:% = route.name; "the request crashes replicas");
+        log::info!(
+            request:%, route:% = route.name;
+            "refused a quarantined request that crashes replicas"
+        );
         return Err(Refusal::Quarantined);
     }
     let answer = serve_route(traffic, &request, &route).await?;
@@ -130,7 +137,9 @@
     })
 }
 
-/// Counts an answer and logs it: the one line of a request in calm.
+/// Counts an answer and logs it.
+///
+/// This is the only log line of a request that is answered without incident.
 fn record_answer(
     traffic: &TrafficState,
     request: &CallerRequest,
@@ -140,16 +149,17 @@
 ) {
     let took_us = traffic.clock.now_us() - request.arrived_us;
     let status = answer.status().as_u16();
-    let by_route = AnswerLabels { route: route.name.to_string(), status };
-    traffic.metrics.answers.get_or_create(&by_route).inc();
-    let of_route = RouteLabel { route: by_route.route };
-    traffic.metrics.latency.get_or_create(&of_route).observe(took_us as f64 / 1e6);
-    let gone_ms = request.elapsed_before_arrival_us / US_PER_MS;
-    let way_ms = traffic.caller_delays.borrow().round_trip_us() / US_PER_MS;
+    let answer_labels = AnswerLabels { route: route.name.to_string(), status };
+    traffic.metrics.answers.get_or_create(&answer_labels).inc();
+    let route_label = RouteLabel { route: answer_labels.route };
+    traffic.metrics.latency.get_or_create(&route_label).observe(took_us as f64 / 1e6);
+    let elapsed_ms = request.elapsed_before_arrival_us / US_PER_MS;
+    let round_trip_ms = traffic.caller_delays.borrow().round_trip_us() / US_PER_MS;
     let reason = answer.extensions().get::<Refusal>().map_or("", |refusal| refusal.reason());
     let (request, route, took_ms) = (&request.attempt_id, &route.name, took_us / US_PER_MS);
     log::info!(
-        request:%, route:%, status, took_ms, gone_ms, way_ms, version, reason;
+        request:%, route:%, status, took_ms, gone_ms = elapsed_ms, way_ms = round_trip_ms,
+        version, reason;
         "answered"
     );
 }
--- a/crates/sassafrasproxy-gateway/src/listener.rs
+++ b/crates/sassafrasproxy-gateway/src/listener.rs
@@ -1,4 +1,4 @@
-//! Accepting connections and serving HTTP on them.
+//! Accepts connections and serves HTTP on them.
 
 use std::cell::Cell;
 use std::convert::Infallible;
@@ -18,24 +18,26 @@
 use crate::answer::Answer;
 use crate::traffic::TrafficState;
 
-/// The pause after a connection could not be accepted, as when descriptors have run out.
+/// The delay before the next accept after an accept has failed, for example for lack of file
+/// descriptors.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
 
-/// What the connections of a listener are served with.
+/// The limits of the connections of a listener.
 #[derive(Debug, Clone, Copy)]
 pub struct ConnectionLimits {
-    /// The largest request head, in bytes.
+    /// The maximum size of a request head, in bytes.
     pub header_bytes: usize,
-    /// How long a connection may be idle or take for a request head.
+    /// The maximum time for which a connection may be idle or take to send a request head.
     pub idle_timeout: Duration,
-    /// Whether a node that leaves waits until the connection has ended.
+    /// Whether a leaving node waits until the connection has ended.
     ///
-    /// Guards against losing a request that arrives as the node closes its port: read but not yet
-    /// counted as under way, it was sent to a replica, and the process ended before its answer.
+    /// Guards against losing a request that arrives as the node closes its port: if it is read but
+    /// not yet counted as active, the process could send it to a replica and exit before the
+    /// answer.
     pub blocks_shutdown: bool,
 }
 
-/// Accepts connections until told to stop, and lets each end with the request it carries.
+/// Accepts connections until stopped, then lets each connection finish its current request.
 pub async fn run<F, S>(
     listener: TcpListener,
     traffic: Rc<TrafficState>,
@@ -58,7 +60,7 @@
                 spawn_local(serve_connection(stream, traffic.clone(), limits, serve, stopping));
             }
             Err(error) => {
-                log::warn!(error:%; "a connection could not be accepted");
+                log::warn!(error:%; "failed to accept a connection; retrying");
                 sleep(ACCEPT_RETRY_DELAY).await;
             }
         }
@@ -75,9 +77,9 @@
     S: Fn(Rc<TrafficState>, Request<Incoming>) -> F + Copy + 'static,
     F: Future<Output = Result<Answer, Infallible>> + 'static,
 {
-    let _awaited = limits.blocks_shutdown.then(|| OpenConnectionGuard::new(traffic.clone()));
+    let _open = limits.blocks_shutdown.then(|| OpenConnectionGuard::new(traffic.clone()));
     if let Err(error) = stream.set_nodelay(true) {
-        log::debug!(error:%; "a connection goes without nodelay");
+        log::debug!(error:%; "failed to set TCP_NODELAY on a connection");
     }
     let is_first = Cell::new(true);
     let service = service_fn(move |mut request: Request<Incoming>| {
@@ -100,18 +102,18 @@
         }
     };
     if let Err(error) = result {
-        log::debug!(error:%; "a connection ended");
+        log::debug!(error:%; "a connection ended with an error");
     }
 }
 
-/// Marks the first request of a connection: its caller had to connect.
+/// Marks the first request of a connection, for which the caller had to connect.
 #[derive(Debug, Clone, Copy)]
 pub struct FirstRequest;
 
-/// The least read buffer that the HTTP library takes, in bytes.
+/// The minimum read buffer size that the HTTP library accepts, in bytes.
 const MIN_READ_BUFFER_BYTES: usize = 8_192;
 
-/// Counts a connection of a caller for as long as it is open.
+/// Counts a caller connection as open until dropped.
 struct OpenConnectionGuard {
     traffic: Rc<TrafficState>,
 }
--- a/crates/sassafrasproxy-gateway/src/request.rs
+++ b/crates/sassafrasproxy-gateway/src/request.rs
@@ -1,4 +1,4 @@
-//! A caller's request, as it is served.
+//! Holds a caller's request and computes its deadlines.
 
 use bytes::Bytes;
 use ecow::EcoString;
@@ -7,37 +7,37 @@
 use sassafrasproxy_platform::{CallerHead, is_forwarded};
 use sassafrasproxy_wire::Route;
 
-/// The part of a caller's time that is kept back for the answer's way.
+/// The answer reserve as a divisor of the time that the caller waits.
 const ANSWER_RESERVE_DIVISOR: u64 = 50;
 
-/// The least that is kept back, in milliseconds.
+/// The minimum answer reserve, in milliseconds.
 const MIN_ANSWER_RESERVE_MS: u64 = 3;
 
-/// A caller's request, read whole.
+/// A complete request of a caller.
 #[derive(Debug)]
 pub struct CallerRequest {
     /// The id of the caller attempt.
     pub attempt_id: EcoString,
-    /// The method.
+    /// The HTTP method.
     pub method: Method,
-    /// Path and query, unchanged.
+    /// The path and query, unchanged.
     pub uri: Uri,
-    /// The headers that go on.
+    /// The headers that are forwarded to replicas.
     pub headers: HeaderMap,
     /// The body.
     pub body: Bytes,
-    /// When it was read, in microseconds.
+    /// The time at which the request arrived, in microseconds of this node's clock.
     pub arrived_us: u64,
-    /// When the caller stops waiting, in microseconds.
+    /// The time at which the caller stops waiting, in microseconds; `u64::MAX` if unknown.
     pub deadline_us: u64,
-    /// How long before the arrival the caller's time started, in microseconds.
+    /// The time from the caller's start of the request to its arrival, in microseconds.
     pub elapsed_before_arrival_us: u64,
-    /// The hash of what the request asks.
+    /// The hash of the request's host, method, path and body.
     pub fingerprint: u64,
 }
 
 impl CallerRequest {
-    /// A request as it was read at a time.
+    /// Creates a request that arrived at `now_us`.
     pub fn new(
         head: CallerHead,
         parts: http::request::Parts,
@@ -69,21 +69,24 @@
         }
     }
 
-    /// When the caller's time started, in microseconds.
+    /// Returns the time at which the caller started the request, in microseconds.
     pub fn started_us(&self) -> u64 {
         self.arrived_us.saturating_sub(self.elapsed_before_arrival_us)
     }
 
-    /// When the route's latency goal is over, in microseconds.
+    /// Returns the time at which the latency goal of the route ends, in microseconds.
     pub fn goal_deadline_us(&self, route: &Route) -> u64 {
         self.started_us().saturating_add(route.goal_ms * US_PER_MS)
     }
 
-    /// When the caller must have its final answer on the way, in microseconds.
+    /// Returns the time by which the final answer must be sent, in microseconds.
+    ///
+    /// This is the end of the route's timeout or the caller's deadline less the answer reserve,
+    /// whichever is earlier.
     pub fn answer_deadline_us(&self, route: &Route) -> u64 {
         let timeout_us = self.arrived_us.saturating_add(route.timeout_ms * US_PER_MS);
         let wait_us = self.deadline_us.saturating_sub(self.arrived_us);
-        let back_us = (wait_us / ANSWER_RESERVE_DIVISOR).max(MIN_ANSWER_RESERVE_MS * US_PER_MS);
-        timeout_us.min(self.deadline_us.saturating_sub(back_us))
+        let reserve_us = (wait_us / ANSWER_RESERVE_DIVISOR).max(MIN_ANSWER_RESERVE_MS * US_PER_MS);
+        timeout_us.min(self.deadline_us.saturating_sub(reserve_us))
     }
 }
