--- a/crates/sassafrasproxy-cli/tests/gateway_crashes.rs
+++ b/crates/sassafrasproxy-cli/tests/gateway_crashes.rs
@@ -1,4 +1,4 @@
-//! A request that crashes the replicas that run it.
+//! Requests that crash the replicas that run them.
 
 #![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 
@@ -10,9 +10,11 @@
 
 use crate::gateway::Cluster;
 
-/// One request takes down each replica that runs it, and its caller sends it again, to three
-/// nodes in turn. From its third death on, no node may send it to a replica; other requests for
-/// the same service are served as soon as the replicas are back.
+/// Guards against a request that crashes one replica after another.
+///
+/// The request crashes each replica that runs it, and its caller sends it again, to three nodes in
+/// turn. From the third crash on, no node may send it to a replica. Other requests for the same
+/// service are served as soon as the replicas are back.
 #[tokio::test(flavor = "multi_thread")]
 async fn crashing_request_is_quarantined() {
     let system = Cluster::start(3).await;
@@ -28,13 +30,13 @@
         assert_ne!(answer.status, 200);
         tokio::time::sleep(Duration::from_millis(300)).await;
     }
-    let deaths = runs() - before;
-    assert!(deaths <= 4, "{deaths} runs of the request");
+    let crashes = runs() - before;
+    assert!(crashes <= 4, "{crashes} runs of the request");
     for id in ["da", "db"] {
         system.replica(id).set_mode(ReplicaMode::Answering(0));
     }
-    for at in 0..3 {
-        system.ask_until(at, "/desk/7", |answer| answer.status == 200).await;
-        assert_eq!(system.ask(at, "/desk/poison").await.status, 503);
+    for gateway in 0..3 {
+        system.ask_until(gateway, "/desk/7", |answer| answer.status == 200).await;
+        assert_eq!(system.ask(gateway, "/desk/poison").await.status, 503);
     }
 }
--- a/crates/sassafrasproxy-cli/tests/gateway_fan_out.rs
+++ b/crates/sassafrasproxy-cli/tests/gateway_fan_out.rs
@@ -1,4 +1,4 @@
-//! Queries over so many shards that several nodes of a failure domain send their parts.
+//! Queries over so many shards that several nodes of a failure domain share the sends.
 
 #![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 
@@ -9,10 +9,11 @@
 
 use crate::gateway::{Cluster, record, route, routes};
 
-/// How many shards the wide route has.
+/// The number of shards of the wide route.
 const WIDE_SHARD_COUNT: usize = 40;
 
-/// Two gateways in one failure domain and one in another, and a route over many shards near the two.
+/// Starts two gateways in one failure domain and one in another, and publishes a route over many
+/// shards in the failure domain of the two.
 async fn start_wide_route() -> Cluster {
     let mut system = Cluster::start(0).await;
     for domain in ["west", "east", "west"] {
@@ -30,21 +31,21 @@
     let mut all = routes();
     all.push(route("r-wide", "/wide/", true, target));
     system.publish(&all);
-    for at in 0..3 {
-        system.ask_until(at, "/wide/1", is_complete_answer).await;
+    for gateway in 0..3 {
+        system.ask_until(gateway, "/wide/1", is_complete_answer).await;
     }
     system
 }
 
 fn is_complete_answer(answer: &CallerAnswer) -> bool {
-    let greatest: Vec<u8> =
-        (0..3).flat_map(|at| record(99 + WIDE_SHARD_COUNT as u8 - at)).collect();
+    let top_records: Vec<u8> =
+        (0..3).flat_map(|rank| record(99 + WIDE_SHARD_COUNT as u8 - rank)).collect();
     answer.status == 200
         && answer.part_stamps().len() == WIDE_SHARD_COUNT
-        && answer.body[..] == greatest
+        && answer.body[..] == top_records
 }
 
-/// Guards against parts that are lost or counted twice when other nodes send some of them.
+/// Guards against parts that are lost or counted twice when another node makes some of the sends.
 #[tokio::test(flavor = "multi_thread")]
 async fn same_domain_nodes_share_sends() {
     let system = start_wide_route().await;
@@ -59,7 +60,7 @@
     );
 }
 
-/// Guards against queries that wait for a helping node that is gone.
+/// Guards against queries that wait for a relay of the same failure domain that has been killed.
 #[tokio::test(flavor = "multi_thread")]
 async fn killed_relay_is_replaced() {
     let system = start_wide_route().await;
--- a/crates/sassafrasproxy-cli/tests/gateway_relays.rs
+++ b/crates/sassafrasproxy-cli/tests/gateway_relays.rs
@@ -1,4 +1,4 @@
-//! Queries whose replicas are in another failure domain, asked by a relay there.
+//! Queries whose replicas are in another failure domain and are reached through a relay there.
 
 #![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 
@@ -11,7 +11,7 @@
 
 use crate::gateway::{Cluster, HOST, SHARD_COUNT, WAIT_TIMEOUT, record, unique_attempt_id};
 
-/// Two gateways in two failure domains, and replicas in the second one's only.
+/// Starts two gateways in two failure domains, with replicas only in the domain of the second.
 async fn start_two_domains() -> Cluster {
     let system = Cluster::start(2).await;
     for shard in 0..SHARD_COUNT {
@@ -26,17 +26,17 @@
     system
 }
 
-/// The greatest records of all shards.
+/// Whether an answer has the top records of all shards.
 fn is_complete_answer(answer: &CallerAnswer) -> bool {
-    let greatest: Vec<u8> =
-        (0..3).flat_map(|at| record(200 + SHARD_COUNT as u8 - 1 - at)).collect();
+    let top_records: Vec<u8> =
+        (0..3).flat_map(|rank| record(200 + SHARD_COUNT as u8 - 1 - rank)).collect();
     answer.status == 200
         && answer.missing_shard_count() == Some(0)
         && answer.part_stamps().len() == SHARD_COUNT
-        && answer.body[..] == greatest
+        && answer.body[..] == top_records
 }
 
-/// How many sends the second gateway made for others.
+/// Returns the number of sends that the second gateway made for others.
 async fn relayed_sends(system: &Cluster) -> u64 {
     system.relayed_send_count(1).await
 }
@@ -52,19 +52,21 @@
     assert!(relayed_sends(&system).await >= before + 10 * SHARD_COUNT as u64);
 }
 
-/// One of the relayed parts fails: the others count, and the answer says that one is left out.
+/// Guards against one failed relayed part that spoils the others or is not reported as missing.
 #[tokio::test(flavor = "multi_thread")]
 async fn failed_part_is_reported() {
     let system = start_two_domains().await;
-    for behavior in [ReplicaMode::Failing, ReplicaMode::Shedding, ReplicaMode::WrongAttemptId] {
-        system.replica("s1b").set_mode(behavior.clone());
+    for mode in [ReplicaMode::Failing, ReplicaMode::Shedding, ReplicaMode::WrongAttemptId] {
+        system.replica("s1b").set_mode(mode.clone());
         let answer = system.ask(0, "/all/7").await;
-        assert_eq!(answer.status, 200, "{behavior:?}");
-        assert_eq!(answer.missing_shard_count(), Some(1), "{behavior:?}");
+        assert_eq!(answer.status, 200, "{mode:?}");
+        assert_eq!(answer.missing_shard_count(), Some(1), "{mode:?}");
     }
 }
 
-/// The relay's process is killed: the entry asks the replicas itself.
+/// Guards against lost parts when the relay is killed.
+///
+/// The gateway that the caller asked must then send to the replicas directly.
 #[tokio::test(flavor = "multi_thread")]
 async fn killed_relay_is_bypassed() {
     let system = start_two_domains().await;
@@ -81,8 +83,10 @@
     }
 }
 
-/// The relay's VM stands still: its connection stays open and brings nothing. Callers get their
-/// answers as soon as that has shown.
+/// Guards against queries that keep failing while a relay is paused.
+///
+/// The connection to a paused relay stays open but delivers no replies. Once the stall is detected,
+/// answers are complete again.
 #[tokio::test(flavor = "multi_thread")]
 async fn paused_relay_is_bypassed() {
     let system = start_two_domains().await;
@@ -92,14 +96,14 @@
     system.ask_until(0, "/all/7", is_complete_answer).await;
 }
 
-/// A caller leaves: the replicas that the relay asked must stop too.
+/// Guards against replicas that keep working for a relay after the caller has disconnected.
 #[tokio::test(flavor = "multi_thread")]
 async fn caller_disconnect_cancels_relay() {
     let system = start_two_domains().await;
     system.replica("s1b").set_mode(ReplicaMode::Unresponsive);
     let attempt = unique_attempt_id();
     let asked = send_get(system.gateways[0].callers_address(), HOST, "/all/7", &attempt, 20_000);
-    // The answer would come without that shard at its latency goal of 400 ms.
+    // At the latency goal of 400 ms, the answer would come without that shard.
     assert!(tokio::time::timeout(Duration::from_millis(200), asked).await.is_err());
     let end = Instant::now() + WAIT_TIMEOUT;
     while system.replica("s1b").cancelled_count() == 0 {
--- a/crates/sassafrasproxy-cli/tests/gateway_requests.rs
+++ b/crates/sassafrasproxy-cli/tests/gateway_requests.rs
@@ -1,4 +1,4 @@
-//! The whole path of a gateway: routes, one replica, all shards, and what may be repeated.
+//! Requests through a gateway: routing, single replicas, gathers, retries and idempotency.
 
 #![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 
@@ -28,15 +28,16 @@
     let system = Cluster::start(1).await;
     let answer = system.ask(0, "/all/7").await;
     assert_eq!(answer.status, 200);
-    let greatest: Vec<u8> =
-        (0..3).flat_map(|at| record(200 + SHARD_COUNT as u8 - 1 - at)).collect();
-    assert_eq!(&answer.body[..], greatest);
+    let top_records: Vec<u8> =
+        (0..3).flat_map(|rank| record(200 + SHARD_COUNT as u8 - 1 - rank)).collect();
+    assert_eq!(&answer.body[..], top_records);
     assert_eq!(answer.part_stamps().len(), SHARD_COUNT);
     assert_eq!(answer.missing_shard_count(), Some(0));
 }
 
-/// Both replicas of a shard are gone. The answer comes without it and says so; callers do not
-/// wait for their deadline.
+/// Guards against answers that hide a missing shard, or that come only at the deadline.
+///
+/// Both replicas of a shard are deregistered.
 #[tokio::test(flavor = "multi_thread")]
 async fn missing_shard_is_reported() {
     let system = Cluster::start(1).await;
@@ -49,8 +50,10 @@
     assert_eq!(answer.part_stamps().len(), SHARD_COUNT - 1);
 }
 
-/// Too few shards are there. The refusal comes at once, before replicas of the others work for
-/// nothing, and says truly that nothing ran, and when to come back.
+/// Guards against replicas that work on a query that cannot reach its minimum coverage.
+///
+/// The replicas of too many shards are deregistered. The refusal must come at once, say truly that
+/// nothing ran, and carry a retry delay.
 #[tokio::test(flavor = "multi_thread")]
 async fn too_few_shards_are_refused() {
     let system = Cluster::start(1).await;
@@ -72,35 +75,39 @@
     assert_eq!(system.ask(0, "/desk").await.status, 404);
 }
 
-/// A node that has just started and cannot read the store knows no route: it must not say that
-/// there is none.
+/// Guards against a 404 from a node that does not know the routes yet.
+///
+/// The node has just started and cannot read the store.
 #[tokio::test(flavor = "multi_thread")]
 async fn missing_configuration_is_503() {
     let mut system = Cluster::start(0).await;
     system.store.set_mode(sassafrasproxy_platform_standin::StoreMode::Refusing(503));
-    let at = system.add_gateway();
-    let answer = system.ask(at, "/desk/7").await;
+    let gateway = system.add_gateway();
+    let answer = system.ask(gateway, "/desk/7").await;
     assert_eq!(answer.status, 503);
     assert!(answer.retry_after_s() > 0.0);
 }
 
-/// One replica answers with failures, sheds, or answers to another request: the sibling is
-/// asked, and the caller notices nothing.
+/// Guards against callers that see the failure of one replica while another is sound.
+///
+/// One replica fails, sheds load, or answers with the id of another attempt.
 #[tokio::test(flavor = "multi_thread")]
 async fn retries_on_other_replica() {
     let system = Cluster::start(1).await;
-    for behavior in [ReplicaMode::Failing, ReplicaMode::Shedding, ReplicaMode::WrongAttemptId] {
-        system.replica("da").set_mode(behavior.clone());
+    for mode in [ReplicaMode::Failing, ReplicaMode::Shedding, ReplicaMode::WrongAttemptId] {
+        system.replica("da").set_mode(mode.clone());
         for _ in 0..5 {
             let answer = system.ask(0, "/desk/7").await;
-            assert_eq!(answer.status, 200, "{behavior:?}");
-            assert!(answer.stamp().starts_with("db"), "{behavior:?}");
+            assert_eq!(answer.status, 200, "{mode:?}");
+            assert!(answer.stamp().starts_with("db"), "{mode:?}");
         }
     }
 }
 
-/// A replica runs an order and fails, or its answer is lost. The order must not be sent again,
-/// and a refusal that says "not run" is given only where every replica said so.
+/// Guards against a non-idempotent request that runs twice, and against a false "not run".
+///
+/// A replica runs the request and fails, or its answer is lost. The request must not be sent again,
+/// and the refusal says "not run" only if every replica said so.
 #[tokio::test(flavor = "multi_thread")]
 async fn non_idempotent_runs_once() {
     let cases = [
@@ -108,20 +115,20 @@
         (ReplicaMode::WrongAttemptId, 502, 1),
         (ReplicaMode::Shedding, 503, 2),
     ];
-    for (behavior, status, sends) in cases {
+    for (mode, status, sends) in cases {
         let system = Cluster::start(1).await;
         let arrivals = || ["da", "db"].map(|id| system.replica(id).received_requests().len());
         let before: usize = arrivals().iter().sum();
         for id in ["da", "db"] {
-            system.replica(id).set_mode(behavior.clone());
+            system.replica(id).set_mode(mode.clone());
         }
         let answer = system.ask(0, "/desk/order/7").await;
-        assert_eq!(answer.status, status, "{behavior:?}");
-        assert_eq!(arrivals().iter().sum::<usize>(), before + sends, "{behavior:?}");
+        assert_eq!(answer.status, status, "{mode:?}");
+        assert_eq!(arrivals().iter().sum::<usize>(), before + sends, "{mode:?}");
     }
 }
 
-/// A caller leaves while its request runs: the replica must be told, and stops.
+/// Guards against replicas that keep working after the caller has disconnected.
 #[tokio::test(flavor = "multi_thread")]
 async fn caller_disconnect_cancels_send() {
     let system = Cluster::start(1).await;
@@ -139,8 +146,9 @@
     }
 }
 
-/// Nothing answers: at the route's timeout the caller gets its final answer, which does not say
-/// that the request has not run.
+/// Guards against a false "not run", or no answer at all, when no replica answers.
+///
+/// At the timeout of the route, the caller gets a 504.
 #[tokio::test(flavor = "multi_thread")]
 async fn route_timeout_is_504() {
     let system = Cluster::start(1).await;
--- a/crates/sassafrasproxy-gateway/tests/new_connections.rs
+++ b/crates/sassafrasproxy-gateway/tests/new_connections.rs
@@ -1,4 +1,4 @@
-//! New connections to replicas.
+//! Tests of new connections to replicas.
 
 #![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 
@@ -10,16 +10,16 @@
 use socket2::SockRef;
 use tokio::task::LocalSet;
 
-/// Far longer than anything here takes, also on a busy machine.
+/// A timeout far longer than any step of these tests takes, also on a busy machine.
 const LONG_WAIT: Duration = Duration::from_secs(20);
 
-/// Runs a test of connections, which live in tasks of one thread.
+/// Runs a test on one thread, as connections are driven by thread-local tasks.
 fn run_on_one_thread(test: impl Future<Output = ()>) {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
     LocalSet::new().block_on(&runtime, test);
 }
 
-/// A replica that takes connections and resets them.
+/// Starts a replica that accepts connections and resets them.
 fn start_resetting_replica() -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
@@ -31,9 +31,11 @@
     address
 }
 
-/// A replica is at its cap and resets an order's connection right after it took it. The order,
-/// written on it at once, counts as one that may have run: its caller got a 502 and could not send
-/// it again, though the sibling was free. The reset must show before anything is written.
+/// Guards against a 502 for a non-idempotent request that another replica could have served.
+///
+/// A replica at its connection limit resets a connection right after it accepted it. A request that
+/// was written at once counts as one that may have run and is not retried, so the reset must be
+/// detected before anything is written.
 #[test]
 fn reset_is_detected_before_send() {
     run_on_one_thread(async {
@@ -44,7 +46,7 @@
     });
 }
 
-/// A connection that stays quiet is taken.
+/// Guards against a sound connection that is refused: one that stays open must be accepted.
 #[test]
 fn quiet_connection_is_accepted() {
     run_on_one_thread(async {
@@ -55,7 +57,7 @@
     });
 }
 
-/// The process is gone: nobody listens at its address.
+/// Guards against a crash that is not recognized: no process listens at the address.
 #[test]
 fn closed_port_means_process_gone() {
     run_on_one_thread(async {
