--- a/crates/sassafrasproxy-gateway/src/gather.rs
+++ b/crates/sassafrasproxy-gateway/src/gather.rs
@@ -106,30 +106,30 @@
     }
     let excluded = choose_excluded_shards(traffic, &request, route, target);
     let (event_sender, mut events) = mpsc::unbounded_channel();
-    let mut gathering = GatherQuery::new(traffic, request, route, target, event_sender);
-    gathering.exclude_shards(excluded);
-    let mut wake_us = gathering.advance_all_shards();
+    let mut query = GatherQuery::new(traffic, request, route, target, event_sender);
+    query.exclude_shards(excluded);
+    let mut wake_us = query.advance_all_shards();
     loop {
         let now_us = traffic.clock.now_us();
-        match gathering.next_step(now_us) {
-            GatherStep::Answer => return gathering.into_answer(),
-            GatherStep::GiveUp => return gathering.into_refusal(now_us),
+        match query.next_step(now_us) {
+            GatherStep::Answer => return query.into_answer(),
+            GatherStep::GiveUp => return query.into_refusal(now_us),
             GatherStep::Wait { until_us } => wake_us = wake_us.min(until_us),
         }
         let wait = Duration::from_micros(wake_us.saturating_sub(now_us));
         match timeout(wait, events.recv()).await {
             Ok(Some(GatherEvent::SendFinished(shard, result))) => {
-                gathering.handle_send_result(shard, result);
-                wake_us = wake_us.min(gathering.advance_shard(shard));
-                gathering.send_deferred();
+                query.handle_send_result(shard, result);
+                wake_us = wake_us.min(query.advance_shard(shard));
+                query.send_deferred();
             }
             Ok(Some(GatherEvent::RelayReplied { parts, records })) => {
-                let shards = gathering.handle_relay_reply(parts, records);
-                let wake_times = shards.into_iter().map(|shard| gathering.advance_shard(shard));
+                let shards = query.handle_relay_reply(parts, records);
+                let wake_times = shards.into_iter().map(|shard| query.advance_shard(shard));
                 wake_us = wake_times.min().unwrap_or(u64::MAX).min(wake_us);
-                gathering.send_deferred();
+                query.send_deferred();
             }
-            Ok(None) | Err(_) => wake_us = gathering.advance_all_shards(),
+            Ok(None) | Err(_) => wake_us = query.advance_all_shards(),
         }
     }
 }
@@ -168,7 +168,8 @@
     QueryAdmission::Refused(refusal_answer(&traffic.metrics, Refusal::NotRun, Some(retry_after_ms)))
 }
 
-/// Returns the time until each service has a usable replica, in microseconds.
+/// Returns the time until each service has a usable replica, in microseconds; `None` where it has
+/// no replica.
 fn usable_times_us<'a>(
     traffic: &TrafficState,
     services: impl Iterator<Item = &'a EcoString>,
@@ -270,10 +271,10 @@
     }
 
     /// Advances the fetch of one shard; returns the time at which to advance it again, in
-    /// microseconds, or `u64::MAX` for no time.
-    fn advance_shard(&mut self, at: usize) -> u64 {
+    /// microseconds, or `u64::MAX` if only another event can advance it.
+    fn advance_shard(&mut self, index: usize) -> u64 {
         loop {
-            let shard = &mut self.shards[at];
+            let shard = &mut self.shards[index];
             if !matches!(shard.state, ShardState::Pending) {
                 return u64::MAX;
             }
@@ -289,7 +290,7 @@
                     self.traffic.count_send(cause);
                     let request = &self.request.attempt_id;
                     log::debug!(request:%, replica:%, cause:?; "starting a send to a replica");
-                    self.start_or_defer_send(at, &replica, send, cause);
+                    self.start_or_defer_send(index, &replica, send, cause);
                 }
                 FetchStep::Wait { until_us } => return until_us.unwrap_or(u64::MAX),
                 FetchStep::Failed(failure) => {
@@ -329,7 +330,7 @@
         };
         let (events, shard) = (self.events.clone(), send.shard);
         let on_result = move |result| {
-            // The send fails if the query was answered without this result.
+            // The channel is closed if the query was answered without this result.
             let _ = events.send(GatherEvent::SendFinished(shard, result));
         };
         self.sends.push(start_send(self.traffic, spec, on_result));
@@ -411,20 +412,20 @@
         };
         let events = self.events.clone();
         let on_reply = move |parts, records| {
-            // The send fails if the query was answered without this reply.
+            // The channel is closed if the query was answered without this reply.
             let _ = events.send(GatherEvent::RelayReplied { parts, records });
         };
         self.sends.push(start_relay_call(self.traffic, spec, on_reply));
     }
 
     /// Records the result of a send that this node made.
-    fn handle_send_result(&mut self, at: usize, result: UpstreamResult) {
-        self.shards[at].fetch.record_result(result.try_result());
+    fn handle_send_result(&mut self, index: usize, result: UpstreamResult) {
+        self.shards[index].fetch.record_result(result.try_result());
         let UpstreamResult::Answered(answer) = result else { return };
         let Some(stamp) = answer.head.stamp.filter(|_| answer.status.is_success()) else { return };
         // Two parts with the same stamp would make the whole answer wrong.
-        if matches!(self.shards[at].state, ShardState::Pending) && !self.has_stamp(&stamp) {
-            self.add_batch(RecordBatch { stamps: vec![(at, stamp)], records: answer.body });
+        if matches!(self.shards[index].state, ShardState::Pending) && !self.has_stamp(&stamp) {
+            self.add_batch(RecordBatch { stamps: vec![(index, stamp)], records: answer.body });
         }
     }
 
@@ -491,7 +492,7 @@
     fn into_answer(mut self) -> Answer {
         self.sends.detach();
         self.log_missing_shards();
-        let is_in = |at: usize, batch: usize| matches!(self.shards[at].state, ShardState::Received(index) if index == batch);
+        let is_in = |shard: usize, batch: usize| matches!(self.shards[shard].state, ShardState::Received(index) if index == batch);
         let mut summary = CoverageSummary::default();
         let mut bodies: Vec<&[u8]> = Vec::with_capacity(self.batches.len());
         for (index, batch) in self.batches.iter().enumerate() {
--- a/crates/sassafrasproxy-gateway/src/relay_call.rs
+++ b/crates/sassafrasproxy-gateway/src/relay_call.rs
@@ -65,7 +65,7 @@
     let traffic = traffic.clone();
     spawn_local(async move {
         let started_us = traffic.clock.now_us();
-        let mut open: IndexMap<usize, SendGuard> = spec
+        let mut pending_sends: IndexMap<usize, SendGuard> = spec
             .sends
             .iter()
             .map(|(shard, replica, send_id)| {
@@ -83,7 +83,7 @@
         };
         let left_us = spec.deadline_us.saturating_sub(started_us);
         let limit = Duration::from_micros(left_us + REPLY_MARGIN_US);
-        let call = run_relay_call(&traffic, &spec, left_us, &mut open, &on_reply);
+        let call = run_relay_call(&traffic, &spec, left_us, &mut pending_sends, &on_reply);
         guard.outcome = match timeout(limit, call).await {
             Ok(Ok(())) => SendOutcome::Answered,
             Ok(Err(error)) => {
@@ -95,12 +95,16 @@
         };
         let is_sent = guard.outcome == SendOutcome::TimedOut;
         drop(guard);
-        if open.is_empty() {
+        if pending_sends.is_empty() {
             return;
         }
         // After a timeout, the replicas may have run the sends that the relay did not report.
         let result = if is_sent { SendResult::MayHaveRun } else { SendResult::Unsent };
-        let ended = open.keys().map(|shard| RelayPartResult { shard: *shard, result, stamp: None });
+        let ended = pending_sends.keys().map(|shard| RelayPartResult {
+            shard: *shard,
+            result,
+            stamp: None,
+        });
         on_reply(ended.collect(), Bytes::new());
     })
     .abort_handle()
@@ -126,15 +130,15 @@
     traffic: &Rc<TrafficState>,
     spec: &RelayCallSpec,
     left_us: u64,
-    open: &mut IndexMap<usize, SendGuard>,
+    pending_sends: &mut IndexMap<usize, SendGuard>,
     on_reply: &impl Fn(Vec<RelayPartResult>, Bytes),
 ) -> eyre::Result<()> {
     let started_us = traffic.clock.now_us();
     let mut call = traffic.relays.call(&spec.relay, build_relay_call(spec, left_us)).await?;
-    while !open.is_empty() {
+    while !pending_sends.is_empty() {
         let Some(reply) = call.next_reply().await else {
             // The connection ended after the call was sent, so the replicas may have run it.
-            let lost = open.drain(..).map(|(shard, guard)| {
+            let lost = pending_sends.drain(..).map(|(shard, guard)| {
                 guard.finish(SendOutcome::Cancelled, None);
                 RelayPartResult { shard, result: SendResult::MayHaveRun, stamp: None }
             });
@@ -145,7 +149,7 @@
         traffic.relays.record_reply(&spec.relay, traffic.clock.now_us());
         let mut parts = Vec::with_capacity(reply.parts.len());
         for part in reply.parts {
-            let Some(guard) = open.swap_remove(&part.shard) else { continue };
+            let Some(guard) = pending_sends.swap_remove(&part.shard) else { continue };
             let (outcome, result, stamp) = interpret_relay_end(part.end);
             guard.finish(outcome, part.reported);
             if result == SendResult::Answered {
--- a/crates/sassafrasproxy-gateway/src/relay_pool.rs
+++ b/crates/sassafrasproxy-gateway/src/relay_pool.rs
@@ -68,7 +68,7 @@
     fn drop(&mut self) {
         self.connection.pending_calls.borrow_mut().swap_remove(&self.id);
         if !self.is_finished {
-            // The send fails if the connection has ended, which also ends its calls.
+            // The channel is closed if the connection has ended, which also ends its calls.
             let _ = self.connection.requests.send(RelayRequest::Cancel { id: self.id });
         }
     }
--- a/crates/sassafrasproxy-gateway/src/relay_server.rs
+++ b/crates/sassafrasproxy-gateway/src/relay_server.rs
@@ -81,7 +81,7 @@
                             (traffic.clone(), reply_sender.clone(), finished_sender.clone());
                         let task = spawn_local(async move {
                             serve_relay_call(traffic, ask, reply_sender).await;
-                            // The send fails if the connection has ended.
+                            // The channel is closed if the connection has ended.
                             let _ = finished_sender.send(id);
                         });
                         calls.tasks.insert(id, task.abort_handle());
@@ -156,7 +156,7 @@
             }
             () = sleep_until(flush_at.unwrap_or_else(Instant::now)), if flush_at.is_some() => {
                 flush_at = None;
-                // The send fails if the connection has ended, which also aborts this task.
+                // The channel is closed if the connection has ended, which also aborts this task.
                 let _ = replies.send(build_reply(&ask, std::mem::take(&mut ready)));
             }
         }
@@ -177,7 +177,7 @@
     results: mpsc::UnboundedSender<(usize, UpstreamResult)>,
 ) -> Option<AbortHandle> {
     let shard = part.shard;
-    // The send fails if the relay call was cancelled.
+    // The channel is closed if the relay call was cancelled.
     let on_result = move |result| drop(results.send((shard, result)));
     let entry = traffic.pool.borrow().entry(&part.replica).cloned();
     let Some(replica) = entry else {
--- a/crates/sassafrasproxy-gateway/src/request.rs
+++ b/crates/sassafrasproxy-gateway/src/request.rs
@@ -7,7 +7,8 @@
 use sassafrasproxy_platform::{CallerHead, is_forwarded};
 use sassafrasproxy_wire::Route;
 
-/// The answer reserve as a divisor of the time that the caller waits.
+/// The divisor of the caller's waiting time that gives the answer reserve: the time kept for the
+/// answer's way to the caller.
 const ANSWER_RESERVE_DIVISOR: u64 = 50;
 
 /// The minimum answer reserve, in milliseconds.
@@ -28,7 +29,8 @@
     pub body: Bytes,
     /// The time at which the request arrived, in microseconds of this node's clock.
     pub arrived_us: u64,
-    /// The time at which the caller stops waiting, in microseconds; `u64::MAX` if unknown.
+    /// The time at which the caller stops waiting, in microseconds; `u64::MAX` if it gave no
+    /// deadline.
     pub deadline_us: u64,
     /// The time from the caller's start of the request to its arrival, in microseconds.
     pub elapsed_before_arrival_us: u64,
--- a/crates/sassafrasproxy-gateway/src/single_replica.rs
+++ b/crates/sassafrasproxy-gateway/src/single_replica.rs
@@ -26,7 +26,7 @@
     service: EcoString,
 ) -> Answer {
     let plan = traffic.fetch_plan(route);
-    let end_us = request.answer_deadline_us(route);
+    let deadline_us = request.answer_deadline_us(route);
     let mut fetch = Fetch::new(service);
     let (result_sender, mut results) = mpsc::unbounded_channel();
     let mut sends = SendTasks::default();
@@ -34,7 +34,7 @@
     traffic.retry_budget.borrow_mut().record_request(fetch.service(), request.arrived_us);
     loop {
         let now_us = traffic.clock.now_us();
-        if now_us >= end_us {
+        if now_us >= deadline_us {
             sends.detach();
             return build_timeout_answer(traffic, &fetch, failure_answer);
         }
@@ -57,17 +57,17 @@
                     route: route.name.clone(),
                     replica,
                     send_id: send,
-                    deadline_us: end_us,
+                    deadline_us,
                     is_fan_out: false,
                     is_idempotent: route.is_idempotent,
                 };
                 let result_sender = result_sender.clone();
-                // The send fails if the request was answered without this result.
+                // The channel is closed if the request was answered without this result.
                 let on_result = move |result| drop(result_sender.send(result));
                 sends.push(start_send(traffic, spec, on_result));
                 continue;
             }
-            FetchStep::Wait { until_us } => until_us.unwrap_or(end_us).min(end_us),
+            FetchStep::Wait { until_us } => until_us.unwrap_or(deadline_us).min(deadline_us),
             FetchStep::Failed(failure) => {
                 if let Admission::Wait { until_us } =
                     admit_without_replica(traffic, &request, route, &fetch, failure)
--- a/crates/sassafrasproxy-gateway/src/traffic.rs
+++ b/crates/sassafrasproxy-gateway/src/traffic.rs
@@ -172,7 +172,7 @@
     pub fn record_crash(&self, report: CrashReport) {
         let is_new = self.request_quarantine.borrow_mut().add_report(self.clock.now_us(), report);
         if is_new {
-            // The send fails if the control thread has ended.
+            // The channel is closed if the control thread has ended.
             let _ = self.crash_reports.send(report);
         }
     }
