--- a/crates/sassafrasproxy-cli/tests/gateway/mod.rs
+++ b/crates/sassafrasproxy-cli/tests/gateway/mod.rs
@@ -1,4 +1,4 @@
-//! Gateways around stand-ins of the users' platform.
+//! Runs gateways as processes against stand-ins of the users' platform.
 
 #![allow(dead_code, clippy::unwrap_used, reason = "each test file uses its part")]
 
@@ -14,33 +14,37 @@
 };
 use serde_json::Value;
 
-/// How long a test waits for a state before it counts as never reached.
+/// The time after which a test gives up waiting for a state.
 pub const WAIT_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// The host of all routes.
+/// The host name of all routes.
 pub const HOST: &str = "shop.example";
 
-/// How many shards the gathered route has.
+/// The number of shards of the gather route.
 pub const SHARD_COUNT: usize = 4;
 
-/// A store, replicas and gateways.
+/// A store, replicas and gateways under test.
 pub struct Cluster {
     pub store: StoreStandIn,
-    /// Two for each shard, those of one shard side by side, then two of `desk`.
+    /// Two replicas per shard, in the order of the shards, then two of the service `desk`.
     pub replicas: Vec<ReplicaStandIn>,
     pub gateways: Vec<GatewayProcess>,
     pub version: u64,
 }
 
 impl Cluster {
-    /// Starts a number of gateways, in failure domains by turns, over some shards and one service.
+    /// Starts gateways in alternating failure domains, with [`SHARD_COUNT`] shards and the service
+    /// `desk`.
+    ///
+    /// Returns once each gateway serves requests.
     pub async fn start(gateways: usize) -> Self {
         let store = StoreStandIn::start();
         let mut replicas = Vec::new();
         for shard in 0..SHARD_COUNT {
             for copy in ["a", "b"] {
                 let id = format!("s{shard}{copy}");
-                // Each shard's records: one great and one small, told apart by their last byte.
+                // Each shard has one record with a high value and one with a low value, identified
+                // by the last byte.
                 let body = [record(200 + shard as u8), record(shard as u8)].concat();
                 replicas.push(ReplicaStandIn::start(&id, &format!("shard-{shard}"), body));
             }
@@ -48,56 +52,56 @@
         for copy in ["a", "b"] {
             replicas.push(ReplicaStandIn::start(&format!("d{copy}"), "desk", "found"));
         }
-        let mut system = Self { store, replicas, gateways: Vec::new(), version: 0 };
-        system.publish(&routes());
-        for (at, replica) in system.replicas.iter().enumerate() {
-            replica.register(&system.store, ["west", "east"][at % 2], "ready");
+        let mut cluster = Self { store, replicas, gateways: Vec::new(), version: 0 };
+        cluster.publish(&routes());
+        for (index, replica) in cluster.replicas.iter().enumerate() {
+            replica.register(&cluster.store, ["west", "east"][index % 2], "ready");
         }
         for _ in 0..gateways {
-            system.add_gateway();
+            cluster.add_gateway();
         }
-        for at in 0..gateways {
-            system.ask_until(at, "/desk/1", |answer| answer.status == 200).await;
+        for index in 0..gateways {
+            cluster.ask_until(index, "/desk/1", |answer| answer.status == 200).await;
         }
-        system
+        cluster
     }
 
-    /// Starts one more gateway.
+    /// Starts one more gateway and returns its index.
     pub fn add_gateway(&mut self) -> usize {
         self.add_gateway_with_store(self.store.address())
     }
 
-    /// Starts one more gateway that reaches the store at an address.
+    /// Starts one more gateway that connects to the store at an address.
     pub fn add_gateway_with_store(&mut self, store: SocketAddr) -> usize {
-        let number = self.gateways.len();
+        let index = self.gateways.len();
         let seeds: Vec<_> = self.gateways.iter().map(GatewayProcess::peers_address).collect();
-        let name = format!("vm-{number}");
-        let domain = ["west", "east"][number % 2];
+        let name = format!("vm-{index}");
+        let domain = ["west", "east"][index % 2];
         let gateway = GatewayProcess::start(binary(), &name, domain, store, &seeds).unwrap();
         self.gateways.push(gateway);
-        number
+        index
     }
 
-    /// Starts one more gateway, in a failure domain and with so much of a core.
+    /// Starts one more gateway in a failure domain, with a share of a CPU core.
     pub fn add_gateway_with_cpu(&mut self, domain: &str, cpu_share: f64) -> usize {
         self.start_gateway(domain, &[("cpu_share", cpu_share.into())])
     }
 
-    /// Starts one more gateway with some settings changed.
+    /// Starts one more gateway with changed settings.
     pub fn add_gateway_with_settings(&mut self, changes: &[(&str, Value)]) -> usize {
         let domain = ["west", "east"][self.gateways.len() % 2];
         self.start_gateway(domain, changes)
     }
 
     fn start_gateway(&mut self, domain: &str, changes: &[(&str, Value)]) -> usize {
-        let number = self.gateways.len();
+        let index = self.gateways.len();
         let seeds: Vec<_> = self.gateways.iter().map(GatewayProcess::peers_address).collect();
-        let name = format!("vm-{number}");
+        let name = format!("vm-{index}");
         let store = self.store.address();
         let gateway =
             GatewayProcess::start_with_settings(binary(), &name, domain, store, &seeds, changes);
         self.gateways.push(gateway.unwrap());
-        number
+        index
     }
 
     /// Publishes a new version of the configuration.
@@ -106,28 +110,28 @@
         self.store.publish_configuration(self.version, routes);
     }
 
-    /// How many sends a gateway made for others.
-    pub async fn relayed_send_count(&self, at: usize) -> u64 {
+    /// Returns the number of sends that a gateway made for other gateways.
+    pub async fn relayed_send_count(&self, gateway: usize) -> u64 {
         let request = Request::get("/metrics").header("host", "h").body(Full::default()).unwrap();
-        let answer = send_request(self.gateways[at].metrics_address(), request).await.unwrap();
+        let answer = send_request(self.gateways[gateway].metrics_address(), request).await.unwrap();
         let text = String::from_utf8(answer.body.to_vec()).unwrap();
         let line = text.lines().find(|line| line.contains("sends_total{kind=\"relayed\"}"));
         line.map_or(0, |line| line.split(' ').next_back().unwrap().parse().unwrap())
     }
 
-    /// The replica with an id.
+    /// Returns the replica with an id.
     pub fn replica(&self, id: &str) -> &ReplicaStandIn {
         self.replicas.iter().find(|replica| replica.id() == id).unwrap()
     }
 
-    /// Asks a gateway once.
+    /// Sends one request to a gateway.
     pub async fn ask(&self, gateway: usize, path: &str) -> CallerAnswer {
         send_get(self.gateways[gateway].callers_address(), HOST, path, &unique_attempt_id(), 2_000)
             .await
             .unwrap()
     }
 
-    /// Asks a gateway until an answer meets a condition.
+    /// Sends requests to a gateway until an answer meets a condition, and returns that answer.
     pub async fn ask_until(
         &self,
         gateway: usize,
@@ -141,13 +145,16 @@
                 return answer;
             }
             let lines = self.gateways[gateway].log_lines();
-            assert!(Instant::now() < end, "never met; last {answer:?}; log {lines:#?}");
+            assert!(
+                Instant::now() < end,
+                "no answer met the condition; last {answer:?}; log {lines:#?}"
+            );
             tokio::time::sleep(Duration::from_millis(20)).await;
         }
     }
 }
 
-/// The routes of the test system.
+/// Returns the routes of the test cluster.
 pub fn routes() -> Vec<DeclaredRoute> {
     let services = (0..SHARD_COUNT).map(|shard| format!("shard-{shard}")).collect();
     let gather = DeclaredTarget::Gather { services, top_k: 3, min_coverage: 0.75 };
@@ -159,7 +166,7 @@
     ]
 }
 
-/// A route of the test system's host.
+/// Returns a route of the test cluster's host.
 pub fn route(
     name: &str,
     prefix: &str,
@@ -177,7 +184,7 @@
     }
 }
 
-/// A record whose last byte is `last`.
+/// Returns a record whose first and last byte are `last`.
 pub fn record(last: u8) -> Vec<u8> {
     let mut record = vec![0; 16];
     record[0] = last;
@@ -185,14 +192,14 @@
     record
 }
 
-/// An attempt id that no other request has.
+/// Returns an attempt id that no other request of this process has.
 pub fn unique_attempt_id() -> String {
     use std::sync::atomic::{AtomicU64, Ordering};
     static NEXT: AtomicU64 = AtomicU64::new(1);
     format!("attempt-{}", NEXT.fetch_add(1, Ordering::Relaxed))
 }
 
-/// The binary under test.
+/// Returns the path of the binary under test.
 pub fn binary() -> &'static Path {
     Path::new(env!("CARGO_BIN_EXE_sassafrasproxy"))
 }
--- a/crates/sassafrasproxy-cli/tests/gateway_rollouts.rs
+++ b/crates/sassafrasproxy-cli/tests/gateway_rollouts.rs
@@ -1,4 +1,4 @@
-//! Moving a service to a new version of its replicas, with gateways as processes.
+//! Tests rollouts of a service to a new version, with gateways as processes.
 
 #![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 
@@ -16,13 +16,13 @@
 
 use crate::gateway::{Cluster, HOST, WAIT_TIMEOUT, unique_attempt_id};
 
-/// How long the operators give a roll-out, in seconds: several times what its last steps need.
+/// The period of a rollout order, in seconds: several times the time that its last phases need.
 const PERIOD_S: f64 = 8.0;
 
 /// The pause between two requests.
 const REQUEST_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Two gateways, and two replicas of `desk` with a new version.
+/// Starts two gateways, and two unregistered replicas of `desk` with a new version.
 async fn start_with_new_version() -> Cluster {
     let mut system = Cluster::start(0).await;
     let rollouts = [("rollouts", json!({ "exposure_share": 0.1, "exposure_slack": 50 }))];
@@ -45,7 +45,7 @@
     }
 }
 
-/// What callers got while a roll-out ran.
+/// The results of the requests during a rollout.
 #[derive(Debug, Default)]
 struct CallerResults {
     request_count: AtomicU64,
@@ -54,21 +54,21 @@
     failures: Mutex<Vec<String>>,
 }
 
-/// Asks both gateways by turns until the roll-out has the state, and some requests more.
+/// Sends requests to the gateways in turn until the rollout has a state and 500 ms beyond.
 async fn ask_until_state(system: &Cluster, state: &str) -> CallerResults {
-    let served = Arc::new(CallerResults::default());
+    let results = Arc::new(CallerResults::default());
     let callers: Vec<_> = system.gateways.iter().map(GatewayProcess::callers_address).collect();
-    let asking = served.clone();
+    let task_results = results.clone();
     let task = tokio::spawn(async move {
         for at in (0..callers.len()).cycle() {
-            if asking.is_done.load(Ordering::Relaxed) {
+            if task_results.is_done.load(Ordering::Relaxed) {
                 return;
             }
             let answer = send_get(callers[at], HOST, "/desk/7", &unique_attempt_id(), 2_000).await;
-            asking.request_count.fetch_add(1, Ordering::Relaxed);
+            task_results.request_count.fetch_add(1, Ordering::Relaxed);
             if !answer.as_ref().is_ok_and(|answer| answer.status == 200) {
-                asking.failure_count.fetch_add(1, Ordering::Relaxed);
-                asking.failures.lock().unwrap().push(format!("{answer:?}"));
+                task_results.failure_count.fetch_add(1, Ordering::Relaxed);
+                task_results.failures.lock().unwrap().push(format!("{answer:?}"));
             }
             tokio::time::sleep(REQUEST_INTERVAL).await;
         }
@@ -78,7 +78,7 @@
     while system.store.rollout_status("desk") != wanted {
         let status = system.store.rollout_status("desk");
         let lines = system.gateways[0].log_lines();
-        assert!(Instant::now() < end, "never {state}, but {status:?}; log {lines:#?}");
+        assert!(Instant::now() < end, "the rollout is not {state}, but {status:?}; log {lines:#?}");
         tokio::time::sleep(REQUEST_INTERVAL).await;
     }
     if state == "completed" {
@@ -89,32 +89,36 @@
         }
     }
     tokio::time::sleep(Duration::from_millis(500)).await;
-    served.is_done.store(true, Ordering::Relaxed);
+    results.is_done.store(true, Ordering::Relaxed);
     task.await.unwrap();
-    Arc::into_inner(served).unwrap()
+    Arc::into_inner(results).unwrap()
 }
 
 fn run_count(system: &Cluster, ids: [&str; 2]) -> usize {
     ids.iter().map(|id| system.replica(id).started_attempt_ids().len()).sum()
 }
 
-/// A good version is completed, and no caller notices.
+/// Guards against failed requests during the rollout of a good version, and against use of the old
+/// version after it has completed.
 #[tokio::test(flavor = "multi_thread")]
 async fn good_version_completes() {
     let system = start_with_new_version().await;
     register_new_version(&system);
     system.store.order_rollout("desk", "v2", PERIOD_S);
-    let served = ask_until_state(&system, "completed").await;
-    assert_eq!(served.failure_count.into_inner(), 0, "{:?}", served.failures);
+    let results = ask_until_state(&system, "completed").await;
+    assert_eq!(results.failure_count.into_inner(), 0, "{:?}", results.failures);
     let before = run_count(&system, ["da", "db"]);
     for at in 0..2 {
         let answer = system.ask(at, "/desk/7").await;
         assert_eq!(&answer.body[..], b"found anew");
     }
-    assert_eq!(run_count(&system, ["da", "db"]), before, "the old version is used on");
+    assert_eq!(run_count(&system, ["da", "db"]), before, "the old version still gets requests");
 }
 
-/// A version that fails every second request: few reach it, and their callers are served by the old one.
+/// Guards against a version that fails every second request.
+///
+/// It must get no more requests than the exposure limit allows, callers must be served by the old
+/// version, and the rollout must be rolled back.
 #[tokio::test(flavor = "multi_thread")]
 async fn bad_version_rolls_back() {
     let system = start_with_new_version().await;
@@ -123,18 +127,18 @@
     }
     register_new_version(&system);
     system.store.order_rollout("desk", "v2", PERIOD_S);
-    let served = ask_until_state(&system, "rolled_back").await;
-    assert_eq!(served.failure_count.into_inner(), 0, "{:?}", served.failures);
+    let results = ask_until_state(&system, "rolled_back").await;
+    assert_eq!(results.failure_count.into_inner(), 0, "{:?}", results.failures);
     let exposed = run_count(&system, ["na", "nb"]) as f64;
-    assert!(exposed <= 50.0 + 0.1 * served.request_count.into_inner() as f64, "{exposed}");
+    assert!(exposed <= 50.0 + 0.1 * results.request_count.into_inner() as f64, "{exposed}");
     let before = run_count(&system, ["na", "nb"]);
     for at in 0..2 {
         system.ask(at, "/desk/7").await;
     }
-    assert_eq!(run_count(&system, ["na", "nb"]), before, "the bad version is used on");
+    assert_eq!(run_count(&system, ["na", "nb"]), before, "the bad version still gets requests");
 }
 
-/// Replicas of a version that nobody ordered are listed: they get nothing.
+/// Guards against requests to replicas of a version without a rollout order.
 #[tokio::test(flavor = "multi_thread")]
 async fn version_without_order_gets_no_work() {
     let system = start_with_new_version().await;
@@ -148,7 +152,7 @@
     assert_eq!(run_count(&system, ["na", "nb"]), 0);
 }
 
-/// The store stops answering in the middle of the trial of a bad version: it gets no more than it may.
+/// Guards against excess exposure when the store stops answering during the trial of a bad version.
 #[tokio::test(flavor = "multi_thread")]
 async fn store_outage_limits_exposure() {
     let system = start_with_new_version().await;
@@ -156,14 +160,14 @@
     system.store.order_rollout("desk", "v2", PERIOD_S);
     let end = Instant::now() + WAIT_TIMEOUT;
     while run_count(&system, ["na", "nb"]) == 0 {
-        assert!(Instant::now() < end, "the trial never began");
+        assert!(Instant::now() < end, "the trial did not start");
         system.ask(0, "/desk/7").await;
     }
     system.store.set_mode(StoreMode::Refusing(503));
     for id in ["na", "nb"] {
         system.replica(id).set_mode(ReplicaMode::Failing);
     }
-    // No status can be written: callers are served all the while.
+    // No status can be written now, but callers must still be served.
     for _ in 0..200 {
         for at in 0..2 {
             assert_eq!(system.ask(at, "/desk/7").await.status, 200);
@@ -174,7 +178,7 @@
     assert!(run_count(&system, ["na", "nb"]) <= 50);
 }
 
-/// One of the two gateways dies in the middle of a trial: the other one ends it.
+/// Guards against a trial that does not end after one of the two gateways has crashed.
 #[tokio::test(flavor = "multi_thread")]
 async fn trial_survives_killed_node() {
     let mut system = start_with_new_version().await;
@@ -183,35 +187,35 @@
     }
     register_new_version(&system);
     system.store.order_rollout("desk", "v2", PERIOD_S);
-    system.gateways[0].wait_for_log_line("a roll-out is at a step").unwrap();
+    system.gateways[0].wait_for_log_line("a rollout record has a new phase").unwrap();
     let killed = system.gateways.remove(1);
     killed.signal(Signal::SIGKILL).unwrap();
-    let served = ask_until_state(&system, "rolled_back").await;
-    assert_eq!(served.failure_count.into_inner(), 0, "{:?}", served.failures);
+    let results = ask_until_state(&system, "rolled_back").await;
+    assert_eq!(results.failure_count.into_inner(), 0, "{:?}", results.failures);
 }
 
-/// An order that cannot be read, one for a service that nobody knows and one that is taken back change
-/// nothing for callers.
+/// Guards against effects on callers of an order that cannot be decoded, of one for an unknown
+/// service and of one that is cancelled.
 #[tokio::test(flavor = "multi_thread")]
 async fn bad_orders_change_nothing() {
     let system = start_with_new_version().await;
     register_new_version(&system);
     system.store.corrupt_rollout_order("desk", br#"{"service":"desk","target_version":2}"#);
-    system.gateways[0].wait_for_log_line("an item of the store is ignored").unwrap();
+    system.gateways[0].wait_for_log_line("ignored a store item that cannot be decoded").unwrap();
     assert_eq!(system.store.rollout_status("desk"), None);
     system.store.order_rollout("nowhere", "v2", PERIOD_S);
     let end = Instant::now() + WAIT_TIMEOUT;
-    let unknown = "a roll-out is ordered for a service that nobody knows";
+    let unknown = "a rollout order names an unknown service";
     while !system
         .gateways
         .iter()
-        .any(|one| one.log_lines().iter().any(|at| at["message"] == unknown))
+        .any(|gateway| gateway.log_lines().iter().any(|line| line["message"] == unknown))
     {
-        assert!(Instant::now() < end, "nobody says that the service is unknown");
+        assert!(Instant::now() < end, "no gateway logged that the service is unknown");
         tokio::time::sleep(REQUEST_INTERVAL).await;
     }
     system.store.order_rollout("desk", "v2", 3_600.0);
-    system.gateways[0].wait_for_log_line("a roll-out is at a step").unwrap();
+    system.gateways[0].wait_for_log_line("a rollout record has a new phase").unwrap();
     system.store.cancel_rollout("desk");
     ask_until_state(&system, "rolled_back").await;
     assert_eq!(&system.ask(0, "/desk/7").await.body[..], b"found");
--- a/crates/sassafrasproxy-cli/tests/gateway_settings.rs
+++ b/crates/sassafrasproxy-cli/tests/gateway_settings.rs
@@ -1,4 +1,4 @@
-//! Settings of a gateway that change while it runs.
+//! Tests settings of a gateway that change while it runs.
 
 #![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 
@@ -12,7 +12,7 @@
 
 use crate::gateway::{Cluster, WAIT_TIMEOUT};
 
-/// How long callers are told to keep an address list, in seconds.
+/// Returns how long callers may keep an address list, in seconds, as the directory says.
 async fn address_keep_s(system: &Cluster) -> u64 {
     query_directory(system.gateways[0].directory_address(), "west").await.unwrap().ttl_s
 }
@@ -20,13 +20,19 @@
 async fn wait_for_address_keep(system: &Cluster, expected_s: u64) {
     let end = Instant::now() + WAIT_TIMEOUT;
     while address_keep_s(system).await != expected_s {
-        assert!(Instant::now() < end, "never in force: {:#?}", system.gateways[0].log_lines());
+        assert!(
+            Instant::now() < end,
+            "the setting did not become active: {:#?}",
+            system.gateways[0].log_lines()
+        );
         tokio::time::sleep(Duration::from_millis(20)).await;
     }
 }
 
-/// An operator changes the settings and sends SIGHUP while callers wait for answers. A process
-/// that does not handle the signal is ended by it, and every open request is lost with it.
+/// Guards against a process that does not handle SIGHUP.
+///
+/// An operator changes the settings and sends SIGHUP. Without a handler the signal ends the
+/// process, and all in-flight requests are lost.
 #[tokio::test(flavor = "multi_thread")]
 async fn sighup_reloads_settings() {
     let mut system = Cluster::start(1).await;
@@ -38,7 +44,8 @@
     assert_eq!(system.ask(0, "/desk/1").await.status, 200);
 }
 
-/// The platform rewrites the settings without a signal.
+/// Guards against settings that are not reloaded when the platform rewrites the file without a
+/// signal.
 #[tokio::test(flavor = "multi_thread")]
 async fn changed_file_reloads_settings() {
     let mut system = Cluster::start(1).await;
@@ -46,13 +53,17 @@
     wait_for_address_keep(&system, 4).await;
 }
 
-/// A file that cannot be used leaves the settings in force, and the log says what to mend.
+/// Guards against an invalid settings file that ends the process or replaces the active settings.
+///
+/// The log must say where the error is.
 #[tokio::test(flavor = "multi_thread")]
 async fn bad_file_keeps_settings() {
     let mut system = Cluster::start(1).await;
     system.gateways[0].corrupt_settings("name: [").unwrap();
     system.gateways[0].signal(Signal::SIGHUP).unwrap();
-    let line = system.gateways[0].wait_for_log_line("the settings in force stay").unwrap();
+    let line = system.gateways[0]
+        .wait_for_log_line("the settings file is invalid; keeping the active settings")
+        .unwrap();
     assert!(line["problem"].as_str().unwrap().contains("gateway.yaml:1"), "{line}");
     assert!(system.gateways[0].is_running().unwrap());
     assert_eq!(address_keep_s(&system).await, 1);
--- a/crates/sassafrasproxy-cli/tests/gateway_shutdown.rs
+++ b/crates/sassafrasproxy-cli/tests/gateway_shutdown.rs
@@ -1,4 +1,4 @@
-//! The planned stop of a gateway.
+//! Tests the graceful shutdown of a gateway.
 
 #![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 
@@ -13,8 +13,10 @@
 
 use crate::gateway::{Cluster, HOST, unique_attempt_id};
 
-/// A node is told to stop while it serves. It is not ready from then on, callers are told to
-/// move on, requests under way get their answers, and the process ends well by itself.
+/// Guards against in-flight requests that are lost when a node is stopped by SIGTERM.
+///
+/// The node must report that it is not ready, answer in-flight requests with `connection: close`
+/// and exit with success.
 #[tokio::test(flavor = "multi_thread")]
 async fn sigterm_drains_requests() {
     let mut system = Cluster::start(1).await;
@@ -24,21 +26,22 @@
     let address = system.gateways[0].callers_address();
     let attempt = unique_attempt_id();
     let slow = send_get(address, HOST, "/desk/7", &attempt, 2_000);
-    let told = async {
+    let shutdown = async {
         tokio::time::sleep(Duration::from_millis(100)).await;
         system.gateways[0].signal(Signal::SIGTERM).unwrap();
         system.gateways[0].wait_for_log_line("the node is leaving").unwrap();
         assert!(!check_ready(system.gateways[0].ready_address()).await.unwrap());
     };
-    let (answer, ()) = tokio::join!(slow, told);
+    let (answer, ()) = tokio::join!(slow, shutdown);
     let answer = answer.unwrap();
     assert_eq!(answer.status, 200);
     assert_eq!(answer.header("connection"), "close");
     assert!(system.gateways[0].wait_for_exit().unwrap().success());
 }
 
-/// A node is told to stop. Whoever looks for the cause of a request's loss must find when it
-/// stopped: the last lines, which wait for the next write, must not be lost with the process.
+/// Guards against log lines that are lost at exit because they are still buffered.
+///
+/// The last lines say when a node stopped, which is needed to find the cause of a lost request.
 #[tokio::test(flavor = "multi_thread")]
 async fn last_log_line_is_written() {
     let mut system = Cluster::start(1).await;
@@ -52,9 +55,11 @@
     system.gateways[0].wait_for_log_line("the node has ended").unwrap();
 }
 
-/// A caller's request arrives just as a node that was told to stop closes its port: its first bytes
-/// are read, the rest comes a moment later. The node counted no request under way and ended, and the
-/// request was read, sent to a replica and never answered.
+/// Guards against a request that is never answered because it arrives while a node shuts down.
+///
+/// The node reads the first bytes, closes its listener, and receives the rest a moment later. If
+/// such a request does not count as in flight, the process exits after the request was sent to a
+/// replica and before the answer.
 #[tokio::test(flavor = "multi_thread")]
 async fn partly_read_request_is_answered() {
     let mut system = Cluster::start(1).await;
--- a/crates/sassafrasproxy-cli/tests/gateway_store.rs
+++ b/crates/sassafrasproxy-cli/tests/gateway_store.rs
@@ -1,4 +1,4 @@
-//! Gateways while the store misbehaves.
+//! Tests gateways during store outages, and how registry changes reach nodes.
 
 #![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 
@@ -15,7 +15,7 @@
 
 use crate::gateway::{Cluster, WAIT_TIMEOUT, route, routes};
 
-/// The addresses that a gateway's directory names.
+/// Returns the addresses that a gateway's directory lists.
 async fn listed_addresses(system: &Cluster, gateway: usize) -> Vec<String> {
     query_directory(system.gateways[gateway].directory_address(), "west").await.unwrap().addresses
 }
@@ -27,8 +27,12 @@
     routes
 }
 
-/// The store refuses, goes silent or forgets its history while callers ask. They are served all
-/// the while, and what changed meanwhile is in force soon after its return.
+/// Guards against failed requests during a store outage, and against changes that are missed after
+/// it.
+///
+/// The store refuses calls or stops answering, and compacts its history meanwhile. Callers must be
+/// served throughout, and a configuration that was published meanwhile must become active after the
+/// recovery.
 #[tokio::test(flavor = "multi_thread")]
 async fn serves_during_store_outages() {
     let mut system = Cluster::start(1).await;
@@ -50,7 +54,7 @@
     }
 }
 
-/// Items come in pages, and somebody else's items stand between ours.
+/// Guards against a list that stops at a foreign or malformed item, or after its first page.
 #[tokio::test(flavor = "multi_thread")]
 async fn paged_list_skips_foreign_items() {
     let mut system = Cluster::start(0).await;
@@ -63,8 +67,9 @@
     assert_eq!(system.ask(at, "/desk/7").await.status, 200);
 }
 
-/// The store turns a node away, from its start on. It learns configuration and replicas from its
-/// peers, and serves.
+/// Guards against a node that cannot serve because the store refuses its calls from the start.
+///
+/// It must get the configuration and the replicas from a peer.
 #[tokio::test(flavor = "multi_thread")]
 async fn reads_entries_from_peers() {
     let mut system = Cluster::start(1).await;
@@ -72,34 +77,36 @@
     let at = system.add_gateway();
     system.ask_until(at, "/all/7", |answer| answer.status == 200).await;
     assert_eq!(system.ask(at, "/desk/7").await.status, 200);
-    system.gateways[at].wait_for_log_line("facts learned from a peer").unwrap();
+    system.gateways[at].wait_for_log_line("pulled registry entries from a peer").unwrap();
 }
 
-/// A small VM starts beside a large one of its failure domain: what stands in the store comes from
-/// there, not across failure domains, and it serves. One whose domain has no larger VM reads it.
+/// Guards against a bootstrap across failure domains.
+///
+/// A small VM must bootstrap from a larger VM of its failure domain; one whose failure domain has
+/// no larger VM must read the store.
 #[tokio::test(flavor = "multi_thread")]
 async fn small_node_starts_from_peer() {
     let mut system = Cluster::start(2).await;
     let small = system.add_gateway_with_cpu("west", 0.1);
-    // Asked before it has started, it would read the store.
-    let from_peer =
-        system.gateways[small].wait_for_log_line("the node starts from a peer").unwrap();
+    // No request yet: one that arrives before the bootstrap makes the node read the store.
+    let from_peer = system.gateways[small].wait_for_log_line("bootstrapped from a peer").unwrap();
     system.ask_until(small, "/all/7", |answer| answer.status == 200).await;
     assert_eq!(from_peer["peer"], system.gateways[0].peers_address().to_string());
     let alone = system.add_gateway_with_cpu("north", 0.1);
     system.ask_until(alone, "/all/7", |answer| answer.status == 200).await;
     let lines = system.gateways[alone].log_lines();
-    assert!(lines.iter().all(|line| line["message"] != "the node starts from a peer"));
-    // What changes later reaches both.
+    assert!(lines.iter().all(|line| line["message"] != "bootstrapped from a peer"));
+    // Later changes must reach both nodes.
     system.publish(&routes_with("later"));
     for at in [small, alone] {
         system.ask_until(at, "/later/7", |answer| answer.status == 200).await;
     }
 }
 
-/// All VMs lose power, and a small one is back first. It has met nobody, so its directory names
-/// itself, and a caller asks it: it must read the store then, and not look around for larger ones
-/// while callers are refused.
+/// Guards against refused callers after all VMs have lost power and a small one restarts first.
+///
+/// It knows no peers, so its directory lists the node itself and callers ask it. It must then read
+/// the store at once instead of waiting for a larger peer.
 #[tokio::test(flavor = "multi_thread")]
 async fn small_node_reads_store_when_asked() {
     let mut system = Cluster::start(0).await;
@@ -108,7 +115,9 @@
     system.gateways[small].wait_for_log_line("a caller asks before the store was read").unwrap();
 }
 
-/// The store loses its answers to writes: the registration is made again, and others see it.
+/// Guards against a node that stays unregistered after the store's answers to its writes were lost.
+///
+/// The node must register again, and the directory of another node must list it.
 #[tokio::test(flavor = "multi_thread")]
 async fn registers_after_lost_answers() {
     let mut system = Cluster::start(1).await;
@@ -118,20 +127,21 @@
     let address = system.gateways[at].callers_address().to_string();
     let end = Instant::now() + WAIT_TIMEOUT;
     while !listed_addresses(&system, 0).await.contains(&address) {
-        assert!(Instant::now() < end, "never named");
+        assert!(Instant::now() < end, "the directory never listed the new node");
         tokio::time::sleep(Duration::from_millis(50)).await;
     }
 }
 
-/// The store takes a node's registration away while it lives. It is still named to callers, and
-/// registers again.
+/// Guards against a live node that is no longer listed after its registration was removed.
+///
+/// The directory must still list it, and it must register again.
 #[tokio::test(flavor = "multi_thread")]
 async fn registers_after_revocation() {
     let system = Cluster::start(2).await;
-    let both = |named: Vec<String>| named.len() == 2;
+    let has_both = |addresses: Vec<String>| addresses.len() == 2;
     let end = Instant::now() + WAIT_TIMEOUT;
-    while !both(listed_addresses(&system, 0).await) {
-        assert!(Instant::now() < end, "the nodes never met");
+    while !has_both(listed_addresses(&system, 0).await) {
+        assert!(Instant::now() < end, "the directory never listed both nodes");
         tokio::time::sleep(Duration::from_millis(50)).await;
     }
     for key in system.store.keys("sassafrasproxy/nodes/") {
@@ -139,13 +149,16 @@
     }
     let end = Instant::now() + WAIT_TIMEOUT;
     while system.store.keys("sassafrasproxy/nodes/").len() < 2 {
-        assert!(both(listed_addresses(&system, 1).await), "a live node was dropped");
-        assert!(Instant::now() < end, "never registered again");
+        assert!(
+            has_both(listed_addresses(&system, 1).await),
+            "the directory no longer lists a live node"
+        );
+        assert!(Instant::now() < end, "a node did not register again");
         tokio::time::sleep(Duration::from_millis(50)).await;
     }
 }
 
-/// A replica leaves, by its word or without: it gets no new work.
+/// Guards against new work for a replica that drains or whose entry was removed.
 #[tokio::test(flavor = "multi_thread")]
 async fn departed_replica_gets_no_work() {
     let system = Cluster::start(1).await;
@@ -157,13 +170,19 @@
     for _ in 0..20 {
         assert!(answered_by("db")(&system.ask(0, "/desk/7").await));
     }
-    assert_eq!(system.replica("da").received_requests().len(), before, "new work after it left");
+    assert_eq!(
+        system.replica("da").received_requests().len(),
+        before,
+        "new work for a replica that has left"
+    );
     system.replica("da").register(&system.store, "west", "ready");
     system.store.deregister_replica("db");
     system.ask_until(0, "/desk/7", answered_by("da")).await;
 }
 
-/// Operators take a failure domain out and bring it back.
+/// Guards against requests to a failure domain that is out of service.
+///
+/// It must get requests again once it is brought back.
 #[tokio::test(flavor = "multi_thread")]
 async fn domain_out_gets_no_work() {
     let system = Cluster::start(1).await;
@@ -176,18 +195,20 @@
     system.ask_until(0, "/desk/7", |answer| answer.stamp().starts_with("da")).await;
 }
 
-/// More nodes than watch the store: the others follow them, and a configuration, a replica that
-/// leaves and a failure domain taken out reach all of them.
+/// Guards against changes that do not reach the nodes that sync from a peer.
+///
+/// There are more nodes than watchers. A new configuration and a failure domain that is taken out
+/// of service must reach all of them.
 #[tokio::test(flavor = "multi_thread")]
 async fn followers_receive_changes() {
     let mut system = Cluster::start(11).await;
     let is_follower = |system: &Cluster, at: usize| {
         let lines = system.gateways[at].log_lines();
-        lines.iter().any(|line| line["message"] == "the node follows a peer")
+        lines.iter().any(|line| line["message"] == "syncing from a peer")
     };
     let end = Instant::now() + WAIT_TIMEOUT;
     while (0..11).filter(|at| is_follower(&system, *at)).count() < 3 {
-        assert!(Instant::now() < end, "nobody follows a peer");
+        assert!(Instant::now() < end, "no gateway follows a peer");
         tokio::time::sleep(Duration::from_millis(100)).await;
     }
     system.publish(&routes_with("late"));
@@ -199,35 +220,37 @@
     }
 }
 
-/// The store turns one node away, and the peer that it follows dies. A replica whose entry goes
-/// then has left. A node that still took the store to be away for all would keep it until lapsed
-/// entries are back, and as it learns of the store from peers only, for good.
+/// Guards against a node that keeps using a replica whose entry was removed.
+///
+/// The store refuses the node's calls, and the peer that it follows crashes. If the node took the
+/// store to be unavailable to all nodes, it would hold the replica until expired entries are
+/// registered again; as it syncs from peers only, it would hold it forever.
 #[tokio::test(flavor = "multi_thread")]
 async fn refused_follower_sees_removal() {
     let system = start_refused_node().await;
     assert_removed_replica_is_idle(&system).await;
 }
 
-/// The same, once the node follows another peer.
+/// Guards against the same failure once the node follows another peer.
 #[tokio::test(flavor = "multi_thread")]
 async fn refused_follower_sees_removal_from_new_peer() {
     let system = start_refused_node().await;
     let before = system.gateways[system.gateway_index].log_lines().len();
     let end = Instant::now() + WAIT_TIMEOUT;
-    let follows = |line: &Value| line["message"] == "the node follows a peer";
+    let follows = |line: &Value| line["message"] == "syncing from a peer";
     while !system.gateways[system.gateway_index].log_lines()[before..].iter().any(follows) {
-        assert!(Instant::now() < end, "no other peer is followed");
+        assert!(Instant::now() < end, "the node does not follow another peer");
         tokio::time::sleep(Duration::from_millis(50)).await;
     }
     assert_removed_replica_is_idle(&system).await;
 }
 
-/// A system with a node that the store turns away, whose followed peer is dead.
+/// A cluster with a node that the store refuses and whose followed peer has crashed.
 struct RefusedNode {
     cluster: Cluster,
-    /// The node.
+    /// The index of the refused node.
     gateway_index: usize,
-    /// Keeps the way to the store that is shut.
+    /// Keeps open the store endpoint that refuses the node's calls.
     _store_proxy: StoreEndpoint,
 }
 
@@ -239,30 +262,31 @@
     }
 }
 
-/// Waits until every gateway has met all others.
+/// Waits until every gateway knows all others.
 async fn wait_for_full_membership(system: &Cluster) {
     let all = system.gateways.len() as u64;
-    let has_met_all = |gateway: &GatewayProcess| {
+    let knows_all = |gateway: &GatewayProcess| {
         gateway.log_lines().iter().any(|line| line["members"].as_u64() == Some(all))
     };
     let end = Instant::now() + WAIT_TIMEOUT;
-    while !system.gateways.iter().all(has_met_all) {
-        assert!(Instant::now() < end, "some have not met all");
+    while !system.gateways.iter().all(knows_all) {
+        assert!(Instant::now() < end, "some gateways do not know all others");
         tokio::time::sleep(Duration::from_millis(50)).await;
     }
 }
 
 async fn start_refused_node() -> RefusedNode {
     let mut system = Cluster::start(12).await;
-    let door = system.store.open_endpoint();
-    let added: Vec<usize> = (0..4).map(|_| system.add_gateway_with_store(door.address())).collect();
-    // Whom a node follows changes while it meets the others, and is looked at again at the end of
-    // each wait for news, four seconds long.
+    let endpoint = system.store.open_endpoint();
+    let added: Vec<usize> =
+        (0..4).map(|_| system.add_gateway_with_store(endpoint.address())).collect();
+    // The followed peer changes while a node learns of the others, and is chosen again at the end
+    // of each long poll of up to four seconds.
     wait_for_full_membership(&system).await;
     tokio::time::sleep(Duration::from_secs(5)).await;
     let follows = |system: &Cluster, at: usize| {
         let lines = system.gateways[at].log_lines();
-        lines.into_iter().rfind(|line| line["message"] == "the node follows a peer")
+        lines.into_iter().rfind(|line| line["message"] == "syncing from a peer")
     };
     let end = Instant::now() + WAIT_TIMEOUT;
     let (at, line) = loop {
@@ -270,45 +294,51 @@
         if let Some(found) = found {
             break found;
         }
-        assert!(Instant::now() < end, "nobody follows a peer");
+        assert!(Instant::now() < end, "no gateway follows a peer");
         tokio::time::sleep(Duration::from_millis(50)).await;
     };
     let peer = line["peer"].as_str().unwrap();
-    door.set_refusal_status(Some(503));
+    endpoint.set_refusal_status(Some(503));
     let followed =
         system.gateways.iter().find(|gateway| gateway.peers_address().to_string() == peer).unwrap();
     followed.signal(Signal::SIGKILL).unwrap();
-    system.gateways[at].wait_for_log_line("the peer is not followed for now").unwrap();
-    RefusedNode { cluster: system, gateway_index: at, _store_proxy: door }
+    system.gateways[at]
+        .wait_for_log_line("sync from a peer failed; skipping the peer for a while")
+        .unwrap();
+    RefusedNode { cluster: system, gateway_index: at, _store_proxy: endpoint }
 }
 
-/// Guards against a watcher that the store turns away and that nobody tells what changes.
+/// Guards against a watcher that misses changes because the store refuses its calls.
 #[tokio::test(flavor = "multi_thread")]
 async fn refused_watcher_sees_removal() {
-    // So few that all watch the store.
+    // All nodes of such a small cluster watch the store.
     let mut system = Cluster::start(3).await;
-    let door = system.store.open_endpoint();
-    let at = system.add_gateway_with_store(door.address());
+    let endpoint = system.store.open_endpoint();
+    let at = system.add_gateway_with_store(endpoint.address());
     wait_for_full_membership(&system).await;
     system.ask_until(at, "/desk/1", |answer| answer.status == 200).await;
-    door.set_refusal_status(Some(503));
-    system.gateways[at].wait_for_log_line("the store is lost").unwrap();
+    endpoint.set_refusal_status(Some(503));
+    system.gateways[at].wait_for_log_line("the store is unavailable").unwrap();
     assert_removed_replica_is_idle(&RefusedNode {
         cluster: system,
         gateway_index: at,
-        _store_proxy: door,
+        _store_proxy: endpoint,
     })
     .await;
 }
 
-/// Takes a replica's entry away: the node sends nothing to it once it could have heard of that.
+/// Removes a replica's entry and asserts that the refused node then sends nothing to the replica.
 async fn assert_removed_replica_is_idle(system: &RefusedNode) {
     system.store.deregister_replica("da");
-    // Longer than lapsed entries may take to be back.
+    // Longer than expired entries are held.
     tokio::time::sleep(Duration::from_secs(4)).await;
     let before = system.replica("da").received_requests().len();
     for _ in 0..10 {
         assert_eq!(system.ask(system.gateway_index, "/desk/7").await.status, 200);
     }
-    assert_eq!(system.replica("da").received_requests().len(), before, "new work after it left");
+    assert_eq!(
+        system.replica("da").received_requests().len(),
+        before,
+        "new work for a replica that has left"
+    );
 }
--- a/crates/sassafrasproxy-gateway/src/control.rs
+++ b/crates/sassafrasproxy-gateway/src/control.rs
@@ -1,4 +1,5 @@
-//! The control thread: follows the store and the peers, and publishes the view.
+//! Runs the control thread, which syncs the registry from the store or a peer, exchanges gossip and
+//! publishes the view that traffic uses.
 
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -20,89 +21,94 @@
 use tokio::time::sleep;
 
 use crate::metrics::{GatewayMetrics, KindLabel};
-use crate::peer_sync::{pull_facts, serve_facts};
+use crate::peer_sync::{pull_during_outage, serve_updates};
 use crate::registration::keep_registered;
 use crate::store_follower::follow_store;
 use crate::view::GatewayView;
 use crate::{peer_gossip, reload, rollouts};
 
-/// How long a call to the store or a peer that does not wait may take.
+/// The timeout of a call to the store or a peer; a long poll adds its wait time.
 ///
-/// The store answers in 4 ms, and in a quarter of a second when it is slow.
+/// The store answers in 4 ms, and within 250 ms when it is slow.
 pub const CALL_TIMEOUT: Duration = Duration::from_millis(1_500);
 
-/// How often the control state looks at the time.
+/// The interval at which held replicas are checked for expiry and member changes are logged.
 const TICK_INTERVAL: Duration = Duration::from_millis(500);
 
-/// How many replicas or members that change at once in the same way get a log line each.
+/// The maximum number of similar changes in one batch that are logged one by one.
+///
+/// A larger batch gets a single line with counts.
 const MAX_LOG_LINES: usize = 8;
 
-/// How many nodes a registration may tell of; one that claims more is damaged.
+/// The largest node count accepted from a registration; one with a higher count is ignored as
+/// corrupt.
 const MAX_REPORTED_NODES: usize = 10_000;
 
-/// What the control thread starts with.
+/// The inputs of the control thread.
 pub struct ControlSetup {
     /// The process's clock.
     pub clock: Clock,
-    /// The settings, as they are reloaded.
+    /// Publishes the settings and each reload of them.
     pub settings: watch::Sender<Arc<GatewaySettings>>,
-    /// Where the settings stand.
+    /// The path of the settings file.
     pub settings_file: std::path::PathBuf,
-    /// This node as its peers know it.
+    /// This node's member entry as announced to peers.
     pub local_member: MemberUpdate,
-    /// The socket for heartbeats.
-    pub heartbeat_socket: std::net::UdpSocket,
-    /// The socket where peers ask for facts.
+    /// The socket for gossip datagrams.
+    pub gossip_socket: std::net::UdpSocket,
+    /// The listener where peers sync registry entries from this node.
     pub peer_sync_listener: std::net::TcpListener,
-    /// Where calls to the store are counted.
+    /// The metrics of the process.
     pub metrics: Arc<GatewayMetrics>,
-    /// Where the view goes.
+    /// Publishes the view to the traffic thread.
     pub view: watch::Sender<GatewayView>,
-    /// Turns true when the process begins to leave.
+    /// Becomes true when the graceful shutdown starts.
     pub leaving: watch::Receiver<bool>,
-    /// Turns true when a caller was refused because no configuration is known yet.
+    /// Becomes true when a caller was refused because no configuration is known yet.
     pub configuration_needed: watch::Receiver<bool>,
-    /// Deaths that the traffic thread saw.
+    /// Crash reports from the traffic thread.
     pub local_crashes: mpsc::UnboundedReceiver<CrashReport>,
-    /// Where the traffic thread hears of deaths that peers saw.
+    /// Passes crash reports from peers to the traffic thread.
     pub peer_crashes: mpsc::UnboundedSender<CrashReport>,
-    /// What the traffic thread has counted in trials of versions.
+    /// Trial reports from the traffic thread.
     pub local_trials: mpsc::UnboundedReceiver<Vec<TrialReport>>,
 }
 
-/// Everything that the control thread's tasks share.
+/// The state that the control thread's tasks share.
 pub struct ControlState {
     pub clock: Clock,
     pub gossip: RefCell<Gossip>,
     pub discovery: RefCell<Discovery>,
     pub rollout_coordinator: RefCell<RolloutCoordinator>,
-    /// Told when an order or a record of a roll-out changed.
+    /// Notified when a rollout order or a rollout record changed.
     pub rollout_changed: Notify,
     settings: watch::Sender<Arc<GatewaySettings>>,
     view: watch::Sender<GatewayView>,
     metrics: Arc<GatewayMetrics>,
-    /// When the store last answered, in microseconds.
+    /// The time of the last successful store call, or of the start, in microseconds.
     last_store_answer_us: Cell<u64>,
-    /// How far this node follows the store.
+    /// The latest store revision that this node has applied.
     store_revision: watch::Sender<u64>,
-    /// Whether the last read of the store failed.
+    /// Whether the last store read failed and no followed peer has reached the store since.
     is_store_unavailable: Cell<bool>,
-    /// The hash of the members in the published view.
+    /// The hash of the members at the last publication.
     published_members_hash: Cell<u64>,
 }
 
 /// Runs the control thread for as long as the process runs.
-pub fn run(start: ControlSetup) -> std::io::Result<()> {
+pub fn run(setup: ControlSetup) -> std::io::Result<()> {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
-    let ControlSetup { clock, settings, local_member: me, metrics, view, .. } = start;
+    let ControlSetup { clock, settings, local_member, metrics, view, .. } = setup;
     let seeds: Vec<_> =
         settings.borrow().seeds.iter().map(|seed| ecow::eco_format!("{seed}")).collect();
-    let scope = settings.borrow().rollouts.map(|_| RolloutParticipant { node: me.node.clone() });
-    let gossip = Gossip::new(&me, seeds, GossipPolicy::default(), rand::random(), clock.now_us());
+    let participant =
+        settings.borrow().rollouts.map(|_| RolloutParticipant { node: local_member.node.clone() });
+    let gossip =
+        Gossip::new(&local_member, seeds, GossipPolicy::default(), rand::random(), clock.now_us());
     let state = Rc::new(ControlState {
         clock,
         gossip: RefCell::new(gossip),
-        discovery: RefCell::new(Discovery::new(scope)),
+        discovery: RefCell::new(Discovery::new(participant)),
         rollout_coordinator: RefCell::default(),
         rollout_changed: Notify::new(),
         settings,
@@ -115,82 +121,82 @@
     });
     state.publish_members();
     LocalSet::new().block_on(&runtime, async move {
-        let heartbeats = UdpSocket::from_std(start.heartbeat_socket)?;
-        let facts = TcpListener::from_std(start.peer_sync_listener)?;
-        spawn_local(follow_store(state.clone(), start.configuration_needed));
-        spawn_local(keep_registered(state.clone(), me));
-        spawn_local(serve_facts(state.clone(), facts));
-        spawn_local(pull_facts(state.clone()));
+        let gossip_socket = UdpSocket::from_std(setup.gossip_socket)?;
+        let peer_sync_listener = TcpListener::from_std(setup.peer_sync_listener)?;
+        spawn_local(follow_store(state.clone(), setup.configuration_needed));
+        spawn_local(keep_registered(state.clone(), local_member));
+        spawn_local(serve_updates(state.clone(), peer_sync_listener));
+        spawn_local(pull_during_outage(state.clone()));
         spawn_local(tick(state.clone()));
-        spawn_local(reload::watch_settings_file(start.settings_file, state.settings.clone()));
+        spawn_local(reload::watch_settings_file(setup.settings_file, state.settings.clone()));
         let crashes = peer_gossip::CrashChannels {
-            local: start.local_crashes,
-            from_peers: start.peer_crashes,
+            local: setup.local_crashes,
+            from_peers: setup.peer_crashes,
         };
-        let (stop, stops) = mpsc::unbounded_channel();
-        spawn_local(rollouts::run_coordinator(state.clone(), stop));
+        let (stopped_orders_sender, stopped_orders) = mpsc::unbounded_channel();
+        spawn_local(rollouts::run_coordinator(state.clone(), stopped_orders_sender));
         let trials =
-            peer_gossip::TrialChannels { local_reports: start.local_trials, stopped_orders: stops };
-        peer_gossip::run(state, heartbeats, start.leaving, crashes, trials).await;
+            peer_gossip::TrialChannels { local_reports: setup.local_trials, stopped_orders };
+        peer_gossip::run(state, gossip_socket, setup.leaving, crashes, trials).await;
         Ok(())
     })
 }
 
 impl ControlState {
-    /// The settings in force.
+    /// Returns the active settings.
     pub fn settings(&self) -> Arc<GatewaySettings> {
         self.settings.borrow().clone()
     }
 
-    /// How far this node follows the store.
+    /// Returns the latest store revision that this node has applied.
     pub fn store_revision(&self) -> u64 {
         *self.store_revision.borrow()
     }
 
-    /// Ends once this node follows the store beyond a revision.
+    /// Waits until this node has applied a store revision greater than `revision`.
     pub async fn wait_past_revision(&self, revision: u64) {
         let mut revisions = self.store_revision.subscribe();
-        // The sender lives as long as this state, so this cannot fail.
+        // Cannot fail: `self` owns the sender.
         let _ = revisions.wait_for(|known| *known > revision).await;
     }
 
-    /// Whether peers should be asked for what the store would tell.
+    /// Whether the store is unavailable to this node, so that it pulls registry entries from peers.
     pub fn is_store_unavailable(&self) -> bool {
         self.is_store_unavailable.get()
     }
 
-    /// Notes that a peer which this node follows is served by the store.
+    /// Records that the followed peer reaches the store.
     pub fn mark_store_available(&self) {
         self.is_store_unavailable.set(false);
     }
 
-    /// Notes how far this node follows the store.
+    /// Raises the applied store revision, and announces it to peers; a lower revision is ignored.
     pub fn advance_revision(&self, revision: u64) {
         self.store_revision.send_if_modified(|known| {
-            let is_more = revision > *known;
+            let is_newer = revision > *known;
             *known = revision.max(*known);
-            is_more
+            is_newer
         });
         self.gossip.borrow_mut().set_store_revision(self.store_revision());
     }
 
-    /// Takes events of discovery in and publishes what they change.
+    /// Applies discovery events and publishes the resulting catalogue if it changed.
     pub fn apply_events(&self, events: impl IntoIterator<Item = DiscoveryEvent>) {
         let now_us = self.clock.now_us();
         let mut discovery = self.discovery.borrow_mut();
         for event in events {
             discovery.step(now_us, event);
         }
-        let notes = discovery.take_log_events();
-        log_notes(&notes, self.store_revision());
-        let is_rollout = |note: &DiscoveryLogEvent| {
+        let log_events = discovery.take_log_events();
+        log_discovery_events(&log_events, self.store_revision());
+        let is_rollout = |log_event: &DiscoveryLogEvent| {
             matches!(
-                note,
+                log_event,
                 DiscoveryLogEvent::RolloutOrderChanged { .. }
                     | DiscoveryLogEvent::RolloutAdvanced { .. }
             )
         };
-        if notes.iter().any(is_rollout) {
+        if log_events.iter().any(is_rollout) {
             self.rollout_changed.notify_one();
         }
         let catalogue = discovery.take_catalogue();
@@ -198,9 +204,9 @@
         for node in discovery.nodes() {
             gossip.add_seed(node.member.peer_address.clone());
         }
-        let told = discovery.nodes().map(|node| node.node_count as usize);
-        let told = told.filter(|count| *count <= MAX_REPORTED_NODES).max().unwrap_or(0);
-        let registered = told.max(discovery.nodes().count());
+        let reported = discovery.nodes().map(|node| node.node_count as usize);
+        let reported = reported.filter(|count| *count <= MAX_REPORTED_NODES).max().unwrap_or(0);
+        let registered = reported.max(discovery.nodes().count());
         if let Some(catalogue) = catalogue {
             self.view.send_modify(|view| {
                 view.catalogue = Arc::new(catalogue);
@@ -209,7 +215,7 @@
         }
     }
 
-    /// Publishes the members if they have changed.
+    /// Publishes the directory nodes if the members have changed.
     pub fn publish_members(&self) {
         let gossip = self.gossip.borrow();
         let members_hash = gossip.members_hash();
@@ -226,23 +232,23 @@
         });
     }
 
-    /// Counts a datagram to a peer.
+    /// Counts a datagram sent to a peer.
     pub fn count_datagram(&self, kind: DatagramKind, length: usize) {
         let kind = KindLabel::new(kind.name());
         self.metrics.peer_datagrams.get_or_create(&kind).inc();
         self.metrics.peer_bytes.get_or_create(&kind).inc_by(length as u64);
     }
 
-    /// Counts an answer that told a peer facts.
-    pub fn count_facts_answer(&self, is_change: bool, length: usize) {
-        let kind = KindLabel::new(if is_change { "changes" } else { "all" });
-        self.metrics.facts_told.get_or_create(&kind).inc();
-        self.metrics.facts_bytes.get_or_create(&kind).inc_by(length as u64);
+    /// Counts an answer to a peer that syncs from this node.
+    pub fn count_sync_answer(&self, is_delta: bool, length: usize) {
+        let kind = KindLabel::new(if is_delta { "changes" } else { "all" });
+        self.metrics.sync_answers.get_or_create(&kind).inc();
+        self.metrics.sync_answer_bytes.get_or_create(&kind).inc_by(length as u64);
     }
 
-    /// Counts a step of a roll-out.
-    pub fn count_rollout_step(&self, note: &RolloutLogEvent) {
-        let RolloutLogEvent::PhaseChange { phase, .. } = note else { return };
+    /// Counts a rollout phase change that this node decided on.
+    pub fn count_rollout_step(&self, log_event: &RolloutLogEvent) {
+        let RolloutLogEvent::PhaseChange { phase, .. } = log_event else { return };
         let kind = match phase {
             RolloutPhase::Trial => "trial",
             RolloutPhase::Promoted => "promoted",
@@ -252,7 +258,7 @@
         self.metrics.rollout_steps.get_or_create(&KindLabel::new(kind)).inc();
     }
 
-    /// Sets what this node has counted in the trials that it takes part in.
+    /// Updates the metrics of the trials that this node takes part in.
     pub fn set_trial_counts(&self, reports: &[TrialReport]) {
         let counts = || reports.iter().flat_map(|report| &report.counts);
         for (is_on_trial, answered, failed, slow) in [
@@ -263,18 +269,18 @@
                 let of_version = counts().filter(|count| count.is_on_trial == is_on_trial);
                 of_version.map(of).sum::<u32>()
             };
-            let ends = [
+            let outcomes = [
                 (answered, sum(|count| count.ended - count.failed - count.slow)),
                 (failed, sum(|count| count.failed)),
                 (slow, sum(|count| count.slow)),
             ];
-            for (kind, count) in ends {
+            for (kind, count) in outcomes {
                 self.metrics.trial_ends.get_or_create(&KindLabel::new(kind)).set(i64::from(count));
             }
         }
     }
 
-    /// Counts a call to the store.
+    /// Counts a call to the store, and records the time of a successful one.
     pub fn count_store_call(&self, call: &'static str, error: Option<&StoreError>) {
         self.metrics.store_calls.get_or_create(&KindLabel::new(call)).inc();
         match error {
@@ -285,16 +291,19 @@
         }
     }
 
-    /// Notes how a read went, and tells discovery when the store goes or comes back.
+    /// Records the result of a store read, and notifies discovery when the store becomes
+    /// unavailable or recovers.
+    ///
+    /// A compacted history is an answer: the store is available then.
     pub fn record_store_read(&self, error: Option<&StoreError>) {
-        let is_away = !matches!(error, None | Some(StoreError::HistoryCompacted));
-        self.gossip.borrow_mut().set_store_unavailable(is_away);
-        if self.is_store_unavailable.replace(is_away) == is_away {
+        let is_unavailable = !matches!(error, None | Some(StoreError::HistoryCompacted));
+        self.gossip.borrow_mut().set_store_unavailable(is_unavailable);
+        if self.is_store_unavailable.replace(is_unavailable) == is_unavailable {
             return;
         }
         match error {
-            Some(error) if is_away => {
-                log::warn!(error:%; "the store is lost");
+            Some(error) if is_unavailable => {
+                log::warn!(error:%; "the store is unavailable");
                 self.apply_events([DiscoveryEvent::StoreUnavailable]);
             }
             _ => {
@@ -305,15 +314,16 @@
     }
 }
 
-/// Lets held replicas go in time, and logs the members that changed since the last tick.
+/// Periodically drops held replicas whose hold has expired, logs member changes and updates the
+/// `store_age` gauge.
 async fn tick(state: Rc<ControlState>) {
     loop {
         sleep(TICK_INTERVAL).await;
-        let (notes, members) = {
+        let (log_events, members) = {
             let mut gossip = state.gossip.borrow_mut();
             (gossip.take_log_events(), gossip.node_count())
         };
-        log_members(&notes, members);
+        log_members(&log_events, members);
         let age_us = state.clock.now_us() - state.last_store_answer_us.get();
         state.metrics.store_age.set((age_us / 1_000_000) as i64);
         if state.discovery.borrow().next_hold_expiry_us().is_some() {
@@ -322,27 +332,30 @@
     }
 }
 
-/// Logs what discovery noted of one batch of changes.
+/// Logs the discovery events of one batch of changes.
 ///
-/// A node that starts, follows an outage or learns of another set of shards hears of hundreds of
-/// replicas at once: those that came and those that went get one line together.
-fn log_notes(notes: &[DiscoveryLogEvent], store_revision: u64) {
-    let is_listed =
-        |note: &&DiscoveryLogEvent| matches!(note, DiscoveryLogEvent::ReplicaUpdated { .. });
-    let is_gone =
-        |note: &&DiscoveryLogEvent| matches!(note, DiscoveryLogEvent::ReplicaEntryRemoved { .. });
-    let listed = notes.iter().filter(is_listed).count();
-    let gone = notes.iter().filter(is_gone).count();
+/// A node that starts, recovers from a store outage or gets another set of shards sees hundreds of
+/// replicas change at once: more than [`MAX_LOG_LINES`] updated or removed replicas get one line
+/// with their number.
+fn log_discovery_events(log_events: &[DiscoveryLogEvent], store_revision: u64) {
+    let is_listed = |log_event: &&DiscoveryLogEvent| {
+        matches!(log_event, DiscoveryLogEvent::ReplicaUpdated { .. })
+    };
+    let is_removed = |log_event: &&DiscoveryLogEvent| {
+        matches!(log_event, DiscoveryLogEvent::ReplicaEntryRemoved { .. })
+    };
+    let listed = log_events.iter().filter(is_listed).count();
+    let removed = log_events.iter().filter(is_removed).count();
     if listed > MAX_LOG_LINES {
         log::info!(count = listed, store_revision; "replicas are listed");
     }
-    if gone > MAX_LOG_LINES {
-        log::info!(count = gone, store_revision; "replicas are listed no more");
+    if removed > MAX_LOG_LINES {
+        log::info!(count = removed, store_revision; "replicas are no longer listed");
     }
-    for note in notes {
-        let count = match note {
+    for log_event in log_events {
+        let count = match log_event {
             DiscoveryLogEvent::ReplicaUpdated { .. } => listed,
-            DiscoveryLogEvent::ReplicaEntryRemoved { .. } => gone,
+            DiscoveryLogEvent::ReplicaEntryRemoved { .. } => removed,
             DiscoveryLogEvent::ConfigurationActivated { .. }
             | DiscoveryLogEvent::OlderConfigurationIgnored { .. }
             | DiscoveryLogEvent::StaleEntryIgnored { .. }
@@ -352,20 +365,24 @@
             | DiscoveryLogEvent::RolloutStopped { .. } => 0,
         };
         if count <= MAX_LOG_LINES {
-            log_note(note, store_revision);
+            log_discovery_event(log_event, store_revision);
         }
     }
 }
 
-/// Logs members that changed together: each, or their number in each state if there are many.
-fn log_members(notes: &[MemberLogEvent], members: usize) {
-    if notes.len() <= MAX_LOG_LINES {
-        for note in notes {
-            log::info!(member:% = note.node, state:? = note.state, members; "a member changed");
+/// Logs changed members one by one, or their number per state if there are more than
+/// [`MAX_LOG_LINES`].
+fn log_members(log_events: &[MemberLogEvent], members: usize) {
+    if log_events.len() <= MAX_LOG_LINES {
+        for log_event in log_events {
+            log::info!(
+                member:% = log_event.node, state:? = log_event.state, members;
+                "a member changed"
+            );
         }
         return;
     }
-    let count = |state| notes.iter().filter(|note| note.state == state).count();
+    let count = |state| log_events.iter().filter(|log_event| log_event.state == state).count();
     log::info!(
         alive = count(MemberState::Alive),
         suspect = count(MemberState::Suspect),
@@ -376,35 +393,47 @@
     );
 }
 
-fn log_note(note: &DiscoveryLogEvent, store_revision: u64) {
-    match note {
+fn log_discovery_event(log_event: &DiscoveryLogEvent, store_revision: u64) {
+    match log_event {
         DiscoveryLogEvent::ConfigurationActivated { version } => {
             log::info!(version, store_revision; "a configuration is in force");
         }
         DiscoveryLogEvent::OlderConfigurationIgnored { version, in_force } => {
-            log::warn!(version, in_force, store_revision; "an older configuration is ignored");
+            log::warn!(
+                version, in_force, store_revision;
+                "ignored a configuration older than the active one"
+            );
         }
         DiscoveryLogEvent::ReplicaUpdated { id, is_draining } => {
             log::info!(replica:% = id, is_draining, store_revision; "a replica is listed");
         }
         DiscoveryLogEvent::ReplicaEntryRemoved { id, is_held } => {
-            log::info!(replica:% = id, is_held, store_revision; "a replica is listed no more");
+            log::info!(replica:% = id, is_held, store_revision; "a replica is no longer listed");
         }
         DiscoveryLogEvent::StaleEntryIgnored { id } => {
-            log::info!(replica:% = id, store_revision; "an older entry of a replica is ignored");
+            log::info!(
+                replica:% = id, store_revision;
+                "ignored a replica entry older than the known one"
+            );
         }
         DiscoveryLogEvent::DomainChanged { domain, is_out } => {
-            log::info!(domain:%, is_out, store_revision; "a failure domain was moved");
+            log::info!(
+                domain:%, is_out, store_revision;
+                "a failure domain was taken out of service or brought back"
+            );
         }
         DiscoveryLogEvent::RolloutOrderChanged { service, target_version } => {
             let target_version = target_version.as_deref().unwrap_or("");
-            log::info!(service:%, target_version, store_revision; "the order of a roll-out changed");
+            log::info!(service:%, target_version, store_revision; "a rollout order changed");
         }
         DiscoveryLogEvent::RolloutAdvanced { service, target_version, phase } => {
-            log::info!(service:%, target_version:%, phase:?, store_revision; "a roll-out is at a step");
+            log::info!(
+                service:%, target_version:%, phase:?, store_revision;
+                "a rollout record has a new phase"
+            );
         }
         DiscoveryLogEvent::RolloutStopped { order_revision } => {
-            log::warn!(order_revision, store_revision; "a roll-out was stopped");
+            log::warn!(order_revision, store_revision; "a rollout was stopped");
         }
     }
 }
--- a/crates/sassafrasproxy-gateway/src/directory.rs
+++ b/crates/sassafrasproxy-gateway/src/directory.rs
@@ -1,4 +1,4 @@
-//! Telling callers where to connect, and the platform whether this node is ready.
+//! Serves the address directory for callers, the metrics and the readiness check.
 
 use std::convert::Infallible;
 use std::rc::Rc;
@@ -16,14 +16,15 @@
 use crate::answer::Answer;
 use crate::traffic::TrafficState;
 
-/// Answers a caller that asks which addresses to use.
+/// Answers a caller's directory query with the addresses of the ingress nodes to use.
 pub async fn serve_directory(
     traffic: Rc<TrafficState>,
     request: Request<Incoming>,
 ) -> Result<Answer, Infallible> {
     let caller_domain = decode_directory_query(request.uri().query());
     let view = traffic.view.borrow().clone();
-    // Shards set the load: a merged query is one request to each of them.
+    // The load depends on the number of shards, as a gather sends a sub-request to each of them:
+    // all services of all routes count.
     let routes = view.catalogue.routes.routes();
     let services: IndexSet<&EcoString> = routes.flat_map(|route| route.target.services()).collect();
     let counts = traffic.pool.borrow().replicas_by_domain(services);
@@ -34,7 +35,7 @@
     Ok(answer)
 }
 
-/// Gives the metrics as text.
+/// Serves the metrics as text.
 pub async fn serve_metrics(
     traffic: Rc<TrafficState>,
     _request: Request<Incoming>,
@@ -43,14 +44,16 @@
     match traffic.metrics.text() {
         Ok(text) => *answer.body_mut() = Full::from(text),
         Err(error) => {
-            log::error!(error:%; "the metrics cannot be written");
+            log::error!(error:%; "cannot encode the metrics");
             *answer.status_mut() = StatusCode::INTERNAL_SERVER_ERROR;
         }
     }
     Ok(answer)
 }
 
-/// Tells whether callers should be sent here.
+/// Answers the readiness check: 200 if callers should be sent to this node, 503 if not.
+///
+/// A node is ready while it knows a configuration and is not shutting down.
 pub async fn serve_ready(
     traffic: Rc<TrafficState>,
     _request: Request<Incoming>,
--- a/crates/sassafrasproxy-gateway/src/gateway.rs
+++ b/crates/sassafrasproxy-gateway/src/gateway.rs
@@ -1,4 +1,4 @@
-//! One gateway, from its settings to its graceful end.
+//! Runs one gateway, from binding its sockets to the graceful shutdown.
 
 use std::convert::Infallible;
 use std::net::{SocketAddr, UdpSocket};
@@ -28,28 +28,28 @@
 use crate::view::GatewayView;
 use crate::{caller_server, directory, relay_server};
 
-/// The largest head of a question to the directory or the readiness check, in bytes.
+/// The maximum size of a request head on the directory, readiness and metrics listeners, in bytes.
 const AUXILIARY_HEAD_BYTES: usize = 8_192;
 
-/// How long a connection to the directory or the readiness check may be idle.
+/// The idle timeout of connections on the directory, readiness and metrics listeners.
 const AUXILIARY_IDLE_TIMEOUT: Duration = Duration::from_secs(15);
 
-/// The part of the grace time in which a leaving node still takes new connections.
+/// The fraction of the grace time in which a leaving node still accepts connections.
 ///
-/// By then most callers have asked the directory again; the others find the port closed and go
-/// elsewhere at once.
+/// By its end most callers have asked the directory again; the others get a refused connection and
+/// use another node at once.
 const ACCEPT_FRACTION: f64 = 0.55;
 
-/// The part of the grace time after which a leaving node ends whatever is under way.
+/// The fraction of the grace time after which a leaving node cuts off in-flight requests.
 const DRAIN_END_FRACTION: f64 = 0.93;
 
-/// How often a leaving node looks whether its requests have ended.
+/// The interval at which a leaving node checks whether its requests have completed.
 const DRAIN_CHECK_INTERVAL: Duration = Duration::from_millis(25);
 
-/// How long the last answer takes to leave the process once its request has ended.
+/// The time for the last answer to leave the process after its request has completed.
 const FLUSH_DELAY: Duration = Duration::from_millis(50);
 
-/// Why a gateway could not run.
+/// An error that keeps a gateway from running.
 #[derive(Debug, Error)]
 pub enum GatewayError {
     /// A socket could not be bound.
@@ -57,15 +57,15 @@
     Listen {
         /// The address.
         address: SocketAddr,
-        /// What the system says.
+        /// The error of the operating system.
         error: std::io::Error,
     },
-    /// The process could not be set up.
-    #[error("cannot start: {0}; check the limits of the process")]
+    /// A thread, runtime or signal handler could not be set up.
+    #[error("cannot start the gateway: {0}; check the resource limits of the process")]
     Start(#[from] std::io::Error),
 }
 
-/// A gateway that listens.
+/// A gateway whose sockets are bound.
 pub struct Gateway {
     settings: Arc<GatewaySettings>,
     settings_file: PathBuf,
@@ -79,49 +79,49 @@
     directory: std::net::TcpListener,
     metrics: Option<std::net::TcpListener>,
     relay: std::net::TcpListener,
-    facts: std::net::TcpListener,
-    heartbeats: UdpSocket,
+    peer_sync: std::net::TcpListener,
+    gossip: UdpSocket,
 }
 
 impl Gateway {
-    /// Listens as the checked settings of a file say; port 0 takes any free port.
+    /// Binds the sockets that the settings name; port 0 takes any free port.
     pub fn bind(settings: GatewaySettings, settings_file: PathBuf) -> Result<Self, GatewayError> {
         let sockets = Sockets::bind(&settings)?;
         Ok(Self { settings: Arc::new(settings), settings_file, sockets })
     }
 
-    /// Runs on this thread until the graceful shutdown that SIGTERM or SIGINT starts has ended.
+    /// Serves traffic on the current thread until SIGTERM or SIGINT, then shuts down gracefully.
     pub fn run(self) -> Result<(), GatewayError> {
         let clock = Clock::start();
-        let me = self.local_member()?;
-        let address = me.address.clone();
+        let local_member = self.local_member()?;
+        let address = local_member.address.clone();
         let metrics_values = Arc::new(GatewayMetrics::new());
         let (view_sender, views) = watch::channel(GatewayView::default());
         let (leave, leaving) = watch::channel(false);
-        let (asked_sender, asked) = watch::channel(false);
-        let (crashes, crashes_seen) = mpsc::unbounded_channel();
-        let (crashes_heard, heard) = mpsc::unbounded_channel();
-        let (trials_sender, trials) = mpsc::unbounded_channel();
+        let (configuration_needed_sender, configuration_needed) = watch::channel(false);
+        let (local_crashes_sender, local_crashes) = mpsc::unbounded_channel();
+        let (peer_crashes_sender, peer_crashes) = mpsc::unbounded_channel();
+        let (local_trials_sender, local_trials) = mpsc::unbounded_channel();
         let (settings, settings_changes) = watch::channel(self.settings.clone());
-        let Sockets { callers, ready, directory, metrics, relay, facts, heartbeats } = self.sockets;
-        let start = ControlSetup {
+        let Sockets { callers, ready, directory, metrics, relay, peer_sync, gossip } = self.sockets;
+        let setup = ControlSetup {
             clock,
             settings,
             settings_file: self.settings_file,
-            local_member: me,
-            heartbeat_socket: heartbeats,
-            peer_sync_listener: facts,
+            local_member,
+            gossip_socket: gossip,
+            peer_sync_listener: peer_sync,
             metrics: metrics_values.clone(),
-            local_crashes: crashes_seen,
-            peer_crashes: crashes_heard,
-            local_trials: trials,
+            local_crashes,
+            peer_crashes: peer_crashes_sender,
+            local_trials,
             view: view_sender,
             leaving,
-            configuration_needed: asked,
+            configuration_needed,
         };
         std::thread::Builder::new().name("control".into()).spawn(move || {
-            if let Err(error) = control::run(start) {
-                log::error!(error:%; "the control thread could not start");
+            if let Err(error) = control::run(setup) {
+                log::error!(error:%; "the control thread failed to start");
             }
         })?;
         let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
@@ -131,20 +131,20 @@
                 self.settings,
                 metrics_values,
                 address,
-                crashes,
-                asked_sender,
+                local_crashes_sender,
+                configuration_needed_sender,
             ));
             spawn_local(traffic.clone().follow_views(views));
             spawn_local(traffic.clone().follow_settings(settings_changes));
-            spawn_local(traffic.clone().follow_crashes(heard));
-            spawn_local(traffic.clone().report_trials(trials_sender));
+            spawn_local(traffic.clone().follow_crashes(peer_crashes));
+            spawn_local(traffic.clone().report_trials(local_trials_sender));
             let (stop, stopping) = watch::channel(false);
-            let serving = ListenerContext { traffic: traffic.clone(), stopping };
-            serving.spawn(callers, caller_limits, caller_server::serve)?;
-            serving.spawn(ready, auxiliary_limits, directory::serve_ready)?;
-            serving.spawn(directory, auxiliary_limits, directory::serve_directory)?;
+            let listeners = ListenerContext { traffic: traffic.clone(), stopping };
+            listeners.spawn(callers, caller_limits, caller_server::serve)?;
+            listeners.spawn(ready, auxiliary_limits, directory::serve_ready)?;
+            listeners.spawn(directory, auxiliary_limits, directory::serve_directory)?;
             if let Some(metrics) = metrics {
-                serving.spawn(metrics, auxiliary_limits, directory::serve_metrics)?;
+                listeners.spawn(metrics, auxiliary_limits, directory::serve_metrics)?;
             }
             let relay = TcpListener::from_std(relay)?;
             spawn_local(relay_server::run(relay, traffic.clone()));
@@ -157,12 +157,12 @@
         })
     }
 
-    /// This node as its peers know it; logs where it listens.
+    /// Returns this node's member entry as announced to peers, and logs the bound addresses.
     fn local_member(&self) -> Result<MemberUpdate, GatewayError> {
         let callers = self.sockets.callers.local_addr()?;
         let directory = self.sockets.directory.local_addr()?;
         let ready = self.sockets.ready.local_addr()?;
-        let peers = self.sockets.facts.local_addr()?;
+        let peers = self.sockets.peer_sync.local_addr()?;
         let relay = self.sockets.relay.local_addr()?;
         let relay_advertise = self.settings.relay_advertise.unwrap_or(relay);
         let metrics = self.sockets.metrics.as_ref();
@@ -181,7 +181,8 @@
             relay_address: eco_format!("{relay_advertise}"),
             cpu_millis: (self.settings.cpu_share * 1_000.0) as u32,
             state: MemberState::Alive,
-            // The wall time overrules what members remember of an earlier life of this name.
+            // The wall time is greater than the incarnation of any earlier run of this node, so
+            // members replace what they know of that run.
             incarnation: wall_ms(),
         })
     }
@@ -189,25 +190,25 @@
 
 impl Sockets {
     fn bind(settings: &GatewaySettings) -> Result<Self, GatewayError> {
-        let facts = listen(settings.peer_listen)?;
-        // Heartbeats use the port number of the facts, so that a peer has one address.
-        let peers = facts.local_addr()?;
-        let heartbeats = UdpSocket::bind(peers)
+        let peer_sync = listen(settings.peer_listen)?;
+        // The gossip datagrams use the same port number, so that a peer has one address.
+        let peers = peer_sync.local_addr()?;
+        let gossip = UdpSocket::bind(peers)
             .map_err(|error| GatewayError::Listen { address: peers, error })?;
-        heartbeats.set_nonblocking(true)?;
+        gossip.set_nonblocking(true)?;
         Ok(Self {
             callers: listen(settings.callers_listen)?,
             ready: listen(settings.ready_listen)?,
             directory: listen(settings.directory_listen)?,
             relay: listen(settings.relay_listen)?,
             metrics: settings.metrics_listen.map(listen).transpose()?,
-            facts,
-            heartbeats,
+            peer_sync,
+            gossip,
         })
     }
 }
 
-/// What the listeners of the traffic thread share.
+/// The state that the listeners of the traffic thread share.
 struct ListenerContext {
     traffic: Rc<TrafficState>,
     stopping: watch::Receiver<bool>,
@@ -241,22 +242,28 @@
     Ok(())
 }
 
-/// Serves on until callers have moved on, lets requests end, and ends before the grace time does.
+/// Shuts down gracefully within the grace time.
+///
+/// Accepts connections while callers learn of other nodes from the directory, then stops accepting
+/// and waits for in-flight requests.
 async fn shut_down(traffic: &TrafficState, stop: &watch::Sender<bool>) {
     let grace = Duration::from_millis(traffic.settings().grace_ms);
     traffic.is_leaving.set(true);
     sleep(grace.mul_f64(ACCEPT_FRACTION)).await;
     stop.send_replace(true);
     let drained = async {
-        // Idle connections have been closed: those that are left carry a request, or will.
+        // Idle connections are closed by now: an open one carries a request or is receiving one.
         while traffic.active_requests.get() > 0 || traffic.open_connections.get() > 0 {
             sleep(DRAIN_CHECK_INTERVAL).await;
         }
         sleep(FLUSH_DELAY).await;
     };
-    let left = grace.mul_f64(DRAIN_END_FRACTION - ACCEPT_FRACTION);
-    if tokio::time::timeout(left, drained).await.is_err() {
-        log::warn!(requests = traffic.active_requests.get(); "the grace time cuts requests off");
+    let drain_timeout = grace.mul_f64(DRAIN_END_FRACTION - ACCEPT_FRACTION);
+    if tokio::time::timeout(drain_timeout, drained).await.is_err() {
+        log::warn!(
+            requests = traffic.active_requests.get();
+            "the grace time is over; in-flight requests are cut off"
+        );
     }
 }
 
--- a/crates/sassafrasproxy-gateway/src/http_client.rs
+++ b/crates/sassafrasproxy-gateway/src/http_client.rs
@@ -1,4 +1,4 @@
-//! An HTTP client over one kept connection, for the store and for peers.
+//! An HTTP client with one persistent connection, for calls to the store and to peers.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -15,21 +15,21 @@
 use tokio::task::spawn_local;
 use tokio::time::timeout;
 
-/// How long a connection may take to be made.
+/// The connect timeout.
 ///
-/// Store and peers answer in milliseconds; a second covers a lost packet.
+/// The store and peers answer within milliseconds; a second allows for one lost packet.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// After how long without traffic, and how often, an idle connection is probed.
+/// The idle time before the first TCP keepalive probe, and the interval between probes.
 ///
-/// A watch waits for seconds: probes show a peer that has lost the connection, or a path that
-/// is cut, before the watch would have come back.
+/// A watch waits for seconds: the probes detect a lost connection or network path before the watch
+/// times out.
 const KEEPALIVE_PROBE_INTERVAL: Duration = Duration::from_secs(1);
 
-/// How many probes without an answer end a connection.
+/// The number of unanswered probes after which a connection is closed.
 const KEEPALIVE_PROBE_COUNT: u32 = 2;
 
-/// A client that makes one call at a time.
+/// An HTTP client that makes one call at a time over one connection.
 #[derive(Debug)]
 pub struct PersistentClient {
     address: SocketAddr,
@@ -37,20 +37,22 @@
 }
 
 impl PersistentClient {
-    /// A client that connects at its first call.
+    /// Creates a client that connects at its first call.
     pub fn new(address: SocketAddr) -> Self {
         Self { address, sender: None }
     }
 
-    /// Makes a call; after any failure the next one uses a new connection.
+    /// Makes a call and returns the status and the body.
+    ///
+    /// Fails after `limit`. After any failure the next call uses a new connection.
     pub async fn call(
         &mut self,
         call: StoreRequest,
         limit: Duration,
     ) -> Result<(StatusCode, Bytes), StoreError> {
-        let made = timeout(limit, self.call_without_timeout(call)).await;
-        let result = made.unwrap_or_else(|_| {
-            Err(StoreError::NoAnswer { detail: eco_format!("nothing came in {limit:?}") })
+        let completed = timeout(limit, self.call_without_timeout(call)).await;
+        let result = completed.unwrap_or_else(|_| {
+            Err(StoreError::NoAnswer { detail: eco_format!("no answer within {limit:?}") })
         });
         if result.is_err() {
             self.sender = None;
@@ -58,7 +60,7 @@
         result
     }
 
-    /// Drops the connection, so that the next call makes a new one.
+    /// Closes the connection; the next call opens a new one.
     pub fn disconnect(&mut self) {
         self.sender = None;
     }
@@ -105,7 +107,7 @@
         .with_interval(KEEPALIVE_PROBE_INTERVAL)
         .with_retries(KEEPALIVE_PROBE_COUNT);
     if let Err(error) = SockRef::from(&stream).set_tcp_keepalive(&probes) {
-        log::warn!(error:%; "a connection goes without probes");
+        log::warn!(error:%; "cannot enable TCP keepalive on a connection to the store or a peer");
     }
     let (sender, connection) = handshake(TokioIo::new(stream)).await.map_err(no_answer)?;
     spawn_local(async move {
--- a/crates/sassafrasproxy-gateway/src/lib.rs
+++ b/crates/sassafrasproxy-gateway/src/lib.rs
@@ -1,7 +1,7 @@
-//! The I/O of a gateway: a node that forwards opaque requests over routes.
+//! The I/O of a gateway, a node that forwards opaque requests by route.
 //!
-//! One thread follows the store and the peers, and publishes what traffic needs to know; the
-//! other serves callers. Decisions stand in `sassafrasproxy-core`.
+//! The control thread syncs the registry from the store or peers and publishes a view of it; the
+//! traffic thread serves callers. The decision logic is in `sassafrasproxy-core`.
 
 mod answer;
 mod caller_server;
--- a/crates/sassafrasproxy-gateway/src/metrics.rs
+++ b/crates/sassafrasproxy-gateway/src/metrics.rs
@@ -1,4 +1,4 @@
-//! Counters and histograms, read as text from the metrics address.
+//! The metrics of a gateway, served as text at the metrics address.
 
 use prometheus_client::encoding::EncodeLabelSet;
 use prometheus_client::encoding::text::encode;
@@ -8,20 +8,21 @@
 use prometheus_client::metrics::histogram::Histogram;
 use prometheus_client::registry::{Registry, Unit};
 
-/// The upper bounds of the latency buckets, in seconds: closest where latency goals usually lie.
+/// The upper bounds of the latency buckets, in seconds; they are closest around common latency
+/// goals.
 const LATENCY_BOUNDS_S: [f64; 11] = [0.005, 0.01, 0.02, 0.04, 0.06, 0.08, 0.1, 0.25, 0.4, 1.0, 2.0];
 
-/// One value of one label.
+/// The labels of the answer counter.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 #[derive(EncodeLabelSet)]
 pub struct AnswerLabels {
     /// The route's name.
     pub route: String,
-    /// The status.
+    /// The HTTP status code.
     pub status: u16,
 }
 
-/// A route.
+/// The label of a metric that is counted by route.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 #[derive(EncodeLabelSet)]
 pub struct RouteLabel {
@@ -29,7 +30,7 @@
     pub route: String,
 }
 
-/// A reason or kind, from a fixed set.
+/// The label of a metric that is counted by a reason or kind from a fixed set.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 #[derive(EncodeLabelSet)]
 pub struct KindLabel {
@@ -41,37 +42,38 @@
 #[derive(Debug)]
 pub struct GatewayMetrics {
     registry: Registry,
-    /// Answers by route and status.
+    /// Answers to callers, by route and status.
     pub answers: Family<AnswerLabels, Counter>,
     /// Seconds from a request's arrival to its answer, by route.
     pub latency: Family<RouteLabel, Histogram>,
-    /// Requests that this node refused or gave up on, by reason.
+    /// Requests that this node refused or stopped serving, by reason.
     pub refusals: Family<KindLabel, Counter>,
     /// Sends to replicas, by cause.
     pub sends: Family<KindLabel, Counter>,
-    /// Ends of sends, by outcome.
+    /// Completed sends, by outcome.
     pub send_ends: Family<KindLabel, Counter>,
-    /// Shards that merged answers left out.
+    /// Shards that are missing from gathered answers.
     pub missing_parts: Counter,
-    /// Calls to the store, by call.
+    /// Calls to the store, by operation.
     pub store_calls: Family<KindLabel, Counter>,
-    /// Calls to the store that failed, by call.
+    /// Failed calls to the store, by operation.
     pub store_failures: Family<KindLabel, Counter>,
     /// Datagrams sent to peers, by kind.
     pub peer_datagrams: Family<KindLabel, Counter>,
-    /// The bytes of these, by kind.
+    /// Bytes of datagrams sent to peers, by kind.
     pub peer_bytes: Family<KindLabel, Counter>,
-    /// Answers that told peers facts, by whether these were all or only changes.
-    pub facts_told: Family<KindLabel, Counter>,
-    /// The bytes of these.
-    pub facts_bytes: Family<KindLabel, Counter>,
-    /// Steps of roll-outs that this node decided on, by phase.
+    /// Answers to peers that sync registry entries, by whether they hold all entries or only
+    /// changes.
+    pub sync_answers: Family<KindLabel, Counter>,
+    /// Bytes of the answers to peers that sync registry entries, by the same kinds.
+    pub sync_answer_bytes: Family<KindLabel, Counter>,
+    /// Rollout phase changes that this node decided on, by phase.
     pub rollout_steps: Family<KindLabel, Counter>,
-    /// Sends that ended in trials of versions, as this node counted them, by version and end.
+    /// Sends that this node counted in trials, by version (on trial or in use) and outcome.
     pub trial_ends: Family<KindLabel, Gauge>,
-    /// The version of the configuration in force.
+    /// The version of the active configuration.
     pub configuration_version: Gauge,
-    /// Seconds since the store was last heard.
+    /// Seconds since the last successful call to the store.
     pub store_age: Gauge,
     /// Replicas that may get new work.
     pub open_replicas: Gauge,
@@ -80,7 +82,7 @@
 }
 
 impl GatewayMetrics {
-    /// Metrics that are all zero.
+    /// Creates metrics with all values zero.
     pub fn new() -> Self {
         let histogram = || Histogram::new(LATENCY_BOUNDS_S);
         let mut metrics = Self {
@@ -95,8 +97,8 @@
             store_failures: Family::default(),
             peer_datagrams: Family::default(),
             peer_bytes: Family::default(),
-            facts_told: Family::default(),
-            facts_bytes: Family::default(),
+            sync_answers: Family::default(),
+            sync_answer_bytes: Family::default(),
             rollout_steps: Family::default(),
             trial_ends: Family::default(),
             configuration_version: Gauge::default(),
@@ -108,7 +110,7 @@
         metrics
     }
 
-    /// All metrics as text.
+    /// Encodes all metrics as text.
     pub fn text(&self) -> Result<String, std::fmt::Error> {
         let mut text = String::new();
         encode(&mut text, &self.registry)?;
@@ -132,8 +134,8 @@
         registry.register("store_failures", "Failed calls", self.store_failures.clone());
         registry.register("peer_datagrams", "Datagrams to peers", self.peer_datagrams.clone());
         registry.register("peer_bytes", "Bytes of these", self.peer_bytes.clone());
-        registry.register("facts_told", "Answers with facts to peers", self.facts_told.clone());
-        registry.register("facts_bytes", "Bytes of these", self.facts_bytes.clone());
+        registry.register("facts_told", "Answers with facts to peers", self.sync_answers.clone());
+        registry.register("facts_bytes", "Bytes of these", self.sync_answer_bytes.clone());
         registry.register("rollout_steps", "Steps of roll-outs", self.rollout_steps.clone());
         registry.register("trial_ends", "Ends in trials of versions", self.trial_ends.clone());
         registry.register(
@@ -153,7 +155,7 @@
 }
 
 impl KindLabel {
-    /// One kind.
+    /// Creates a label from a kind.
     pub fn new(kind: &'static str) -> Self {
         Self { kind }
     }
--- a/crates/sassafrasproxy-gateway/src/peer_gossip.rs
+++ b/crates/sassafrasproxy-gateway/src/peer_gossip.rs
@@ -1,4 +1,4 @@
-//! Heartbeats between nodes, as datagrams.
+//! Sends and receives the gossip datagrams between nodes.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -16,21 +16,23 @@
 use crate::control::ControlState;
 use crate::rollouts;
 
-/// Reports of replicas that died under requests, from and to the traffic thread.
+/// The channels for reports of replicas that crashed on a request.
 pub struct CrashChannels {
+    /// Reports from the traffic thread.
     pub local: mpsc::UnboundedReceiver<CrashReport>,
+    /// Passes reports from peers to the traffic thread.
     pub from_peers: mpsc::UnboundedSender<CrashReport>,
 }
 
-/// What goes to peers while a version is on trial.
+/// The channels for what is sent to peers while a version is on trial.
 pub struct TrialChannels {
-    /// What the traffic thread has counted.
+    /// Trial reports from the traffic thread.
     pub local_reports: mpsc::UnboundedReceiver<Vec<TrialReport>>,
-    /// Roll-outs that this node stops, by the store's revision of their orders.
+    /// The store revisions of the orders of rollouts that this node stops.
     pub stopped_orders: mpsc::UnboundedReceiver<u64>,
 }
 
-/// Sends and hears heartbeats until the process ends.
+/// Exchanges gossip datagrams with peers for as long as the process runs.
 pub async fn run(
     state: Rc<ControlState>,
     socket: UdpSocket,
@@ -40,7 +42,8 @@
 ) {
     let mut ticks = interval(Duration::from_micros(GossipPolicy::default().tick_interval_us));
     ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
-    // One byte more shows a datagram that is too long: it cannot be read then.
+    // One extra byte, so that a datagram over the limit is not cut to a valid length; its decoding
+    // fails.
     let mut buffer = vec![0; MAX_DATAGRAM_BYTES + 1];
     loop {
         let now_us = state.clock.now_us();
@@ -52,9 +55,10 @@
             }
             received = socket.recv_from(&mut buffer) => match received {
                 Ok((length, from)) => handle_datagram(&state, &buffer[..length], from, &crashes.from_peers),
-                // An earlier datagram came back as refused; the member's silence will tell.
+                // An earlier datagram was refused; the missing heartbeats show that the member is
+                // down.
                 Err(error) => {
-                    log::debug!(error:%; "a datagram failed");
+                    log::debug!(error:%; "receiving a datagram failed");
                     Vec::new()
                 }
             },
@@ -74,7 +78,7 @@
     }
 }
 
-/// Takes a datagram in, and returns what to send.
+/// Applies a received datagram and returns the datagrams to send.
 fn handle_datagram(
     state: &ControlState,
     bytes: &[u8],
@@ -84,12 +88,12 @@
     let datagram = match PeerDatagram::decode(bytes) {
         Ok(datagram) => datagram,
         Err(error) => {
-            log::warn!(from:%, error:%; "a datagram cannot be read");
+            log::warn!(from:%, error:%; "ignored a datagram that cannot be decoded");
             return Vec::new();
         }
     };
     for report in &datagram.crash_reports {
-        // Without a traffic thread the process is ending.
+        // Fails only if the traffic thread has ended; the process is exiting then.
         let _ = crashes.send(*report);
     }
     rollouts::record_peer_trials(state, &datagram.sender.node, &datagram.trial_reports);
@@ -100,18 +104,23 @@
     state.gossip.borrow_mut().receive(now_us, &eco_format!("{from}"), &datagram)
 }
 
-/// Sends a datagram; one that is lost is as good as one not sent.
+/// Sends a datagram; a failure is logged only, as gossip tolerates lost datagrams.
 async fn send_datagram(state: &ControlState, socket: &UdpSocket, send: &OutgoingDatagram) {
     let bytes = match send.datagram.encode() {
         Ok(bytes) => bytes,
-        Err(error) => return log::error!(error:%; "a heartbeat cannot be written"),
+        Err(error) => return log::error!(error:%; "cannot encode a datagram"),
     };
     let address: SocketAddr = match send.peer_address.parse() {
         Ok(address) => address,
-        Err(error) => return log::warn!(peer:% = send.peer_address, error:%; "no peer address"),
+        Err(error) => {
+            return log::warn!(
+                peer:% = send.peer_address, error:%;
+                "cannot parse a peer's address; the datagram is not sent"
+            );
+        }
     };
     state.count_datagram(send.datagram.kind, bytes.len());
     if let Err(error) = socket.send_to(&bytes, address).await {
-        log::debug!(peer:% = send.peer_address, error:%; "a heartbeat failed");
+        log::debug!(peer:% = send.peer_address, error:%; "sending a datagram failed");
     }
 }
--- a/crates/sassafrasproxy-gateway/src/peer_sync.rs
+++ b/crates/sassafrasproxy-gateway/src/peer_sync.rs
@@ -1,5 +1,7 @@
-//! Learning from a peer what the store would tell: in a large fleet always, and while the store
-//! turns this node away.
+//! Syncs registry entries between nodes.
+//!
+//! In a large fleet most nodes always sync from a peer instead of the store; any node does so while
+//! the store is unavailable to it.
 
 use std::convert::Infallible;
 use std::rc::Rc;
@@ -25,51 +27,53 @@
 use crate::http_client::PersistentClient;
 use crate::store_follower::wait_until_behind;
 
-/// Where a peer tells what it knows; raised with each change that older nodes cannot read.
-const FACTS_PATH: &str = "/facts/2";
+/// The path where a peer serves its registry entries.
+///
+/// The number is raised with each format change that older nodes cannot decode.
+const PEER_SYNC_PATH: &str = "/facts/2";
 
-/// How long a node that follows a peer waits for news, in milliseconds.
+/// The maximum wait of a long poll at a followed peer, in milliseconds.
 ///
-/// As long as a watch of the store waits, and for the same reason.
+/// The same as the wait of a store watch, for the same reason.
 const FOLLOW_WAIT_MS: u64 = 4_000;
 
-/// How often a node that cannot reach the store looks for a peer that knows more.
+/// The interval at which a node without access to the store looks for a peer with a newer revision.
 ///
-/// A configuration must be in force within three seconds; a peer's heartbeat says within about
-/// half a second that it has it, and one more look makes two.
+/// A configuration must be active within three seconds. A peer's heartbeat announces it within
+/// about half a second, and with one more check the total is two seconds.
 const PULL_INTERVAL: Duration = Duration::from_millis(700);
 
-/// How often a node looks whether the peer that it waits at is alive.
+/// The interval at which a node checks whether the peer it polls is still alive.
 const LIVENESS_CHECK_INTERVAL: Duration = Duration::from_millis(250);
 
-/// The pause after a connection could not be accepted.
+/// The delay after a failed accept.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
 
-/// Everything that a node knows from the store.
+/// An update from a peer: all registry entries, or the changes after a revision.
 #[derive(Debug)]
 #[derive(Serialize, Deserialize)]
 struct PeerUpdate {
-    /// How far it follows the store.
+    /// The store revision that the peer has applied.
     revision: u64,
-    /// The facts, each with its revision in the store; all, or those that changed.
-    facts: Vec<(RegistryEntry, u64)>,
-    /// With changes only: the subjects that are gone.
+    /// All entries, or the changed ones if `is_delta`; each with its store revision.
+    entries: Vec<(RegistryEntry, u64)>,
+    /// The keys of removed entries, each with its store revision; empty unless `is_delta`.
     removed: Vec<(RegistryKey, u64)>,
-    /// Whether these are changes after the revision that was asked for.
+    /// Whether this holds only the changes after the requested revision.
     is_delta: bool,
-    /// Whether the store turns the peer away.
+    /// Whether the store is unavailable to the peer.
     is_store_unavailable: bool,
-    /// How much longer lapsed entries may come back, in milliseconds.
+    /// How much longer expired entries may be registered again, in milliseconds.
     expired_hold_ms: u64,
 }
 
-/// Tells peers what this node knows, for as long as the process runs.
-pub async fn serve_facts(state: Rc<ControlState>, listener: TcpListener) {
+/// Serves registry entries to peers for as long as the process runs.
+pub async fn serve_updates(state: Rc<ControlState>, listener: TcpListener) {
     loop {
         let stream = match listener.accept().await {
             Ok((stream, _)) => stream,
             Err(error) => {
-                log::warn!(error:%; "a peer's connection could not be accepted");
+                log::warn!(error:%; "cannot accept a peer's connection; retrying");
                 sleep(ACCEPT_RETRY_DELAY).await;
                 continue;
             }
@@ -85,8 +89,8 @@
     }
 }
 
-/// Asks the best informed peer for its facts whenever the store is away.
-pub async fn pull_facts(state: Rc<ControlState>) {
+/// Pulls registry entries from the peer with the latest revision while the store is unavailable.
+pub async fn pull_during_outage(state: Rc<ControlState>) {
     loop {
         sleep(PULL_INTERVAL).await;
         if !state.is_store_unavailable() {
@@ -94,12 +98,15 @@
         }
         let Some(peer) = state.gossip.borrow().most_advanced_peer() else { continue };
         match pull_update(&mut None, &peer, state.store_revision(), 0).await {
-            Ok(facts) => {
-                log::info!(peer:%, revision = facts.revision; "facts learned from a peer");
-                apply_update(&state, facts);
+            Ok(update) => {
+                log::info!(
+                    peer:%, revision = update.revision;
+                    "pulled registry entries from a peer"
+                );
+                apply_update(&state, update);
             }
             Err(error) => {
-                log::info!(peer:%, error:%; "a peer did not tell its facts");
+                log::info!(peer:%, error:%; "pulling registry entries from a peer failed");
                 let now_us = state.clock.now_us();
                 state.gossip.borrow_mut().record_sync_failure(now_us, &peer);
             }
@@ -114,50 +121,64 @@
 }
 
 impl FollowedPeer {
-    /// Learns everything from a peer, waiting until it knows something; returns whether it did.
+    /// Pulls all registry entries from a peer; returns whether it succeeded.
+    ///
+    /// A peer that has no entries yet gets [`FOLLOW_WAIT_MS`] to answer.
     pub async fn bootstrap(&mut self, state: &ControlState, peer_address: &EcoString) -> bool {
         let pulled = pull_update(&mut self.client, peer_address, 0, FOLLOW_WAIT_MS).await;
         let failure = match pulled {
-            Ok(facts) if facts.revision > 0 => {
-                log::info!(peer:% = peer_address, revision = facts.revision; "the node starts from a peer");
-                apply_update(state, facts);
+            Ok(update) if update.revision > 0 => {
+                log::info!(
+                    peer:% = peer_address, revision = update.revision;
+                    "bootstrapped from a peer"
+                );
+                apply_update(state, update);
                 return true;
             }
-            Ok(_) => eyre!("it knows nothing yet"),
+            Ok(_) => eyre!("the peer has no registry entries yet"),
             Err(error) => error,
         };
-        log::info!(peer:% = peer_address, error:% = failure; "the peer did not help to start");
+        log::info!(
+            peer:% = peer_address, error:% = failure;
+            "bootstrap from a peer failed; reading the store"
+        );
         false
     }
 
-    /// Learns changes from the peer that this node is to follow, if it is not to read the store.
+    /// Waits for an update from the peer that this node should follow, and applies it.
     ///
-    /// A peer that fails, or that knows less than others, is passed over for a while.
+    /// Returns [`FollowResult::ReadStore`] if the node should read the store instead. A peer that
+    /// fails, or whose revision stays behind that of others, is skipped for a while.
     pub async fn follow(&mut self, state: &ControlState) -> FollowResult {
-        let follow = state.gossip.borrow().sync_source(state.clock.now_us());
-        let SyncSource::Peer { peer_address } = follow else { return FollowResult::ReadStore };
+        let source = state.gossip.borrow().sync_source(state.clock.now_us());
+        let SyncSource::Peer { peer_address } = source else { return FollowResult::ReadStore };
         if self.client.as_ref().is_none_or(|(address, _)| *address != peer_address) {
-            log::info!(peer:% = peer_address; "the node follows a peer");
+            log::info!(peer:% = peer_address; "syncing from a peer");
         }
         let revision = state.store_revision();
         let pulled = tokio::select! {
             pulled = pull_update(&mut self.client, &peer_address, revision, FOLLOW_WAIT_MS) => pulled,
             error = wait_until_behind(state) => Err(error.into()),
-            () = wait_until_not_alive(state, &peer_address) => Err(eyre!("it is not alive any more")),
+            () = wait_until_not_alive(state, &peer_address) => {
+                Err(eyre!("the peer is no longer alive"))
+            }
         };
         let now_us = state.clock.now_us();
         match pulled {
-            Ok(facts) => {
-                if facts.is_store_unavailable {
+            Ok(update) => {
+                if update.is_store_unavailable {
                     state.gossip.borrow_mut().record_peer_store_unavailable(now_us, &peer_address);
                 } else {
                     state.mark_store_available();
                 }
-                apply_update(state, facts);
+                apply_update(state, update);
                 FollowResult::Updated
             }
             Err(error) => {
-                log::info!(peer:% = peer_address, error:%; "the peer is not followed for now");
+                log::info!(
+                    peer:% = peer_address, error:%;
+                    "sync from a peer failed; skipping the peer for a while"
+                );
                 self.client = None;
                 state.gossip.borrow_mut().record_sync_failure(now_us, &peer_address);
                 FollowResult::Failed
@@ -166,62 +187,68 @@
     }
 }
 
-/// Ends when a peer is suspected, leaves or is gone: a call to it may hang for seconds.
+/// Waits until a peer is suspect, leaving or dead.
+///
+/// A call to such a peer may otherwise hang for seconds.
 async fn wait_until_not_alive(state: &ControlState, peer_address: &str) {
     while state.gossip.borrow().is_alive(peer_address) {
         sleep(LIVENESS_CHECK_INTERVAL).await;
     }
 }
 
-/// How an attempt to follow a peer ended.
+/// The result of an attempt to sync from a followed peer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum FollowResult {
-    /// The peer told what it knows.
+    /// The peer's update was applied.
     Updated,
-    /// The peer did not help; another may.
+    /// The sync failed; another peer may be tried.
     Failed,
-    /// This node is to read the store itself.
+    /// This node should read the store itself.
     ReadStore,
 }
 
-/// Reads from a peer what it knows beyond a revision, waiting for news if there are none.
+/// Requests a peer's update after a revision; the peer waits up to `wait_ms` for a newer revision.
+///
+/// Leaves the connection in `client` only after a complete answer.
 async fn pull_update(
     client: &mut Option<(EcoString, PersistentClient)>,
     peer: &str,
     revision: u64,
     wait_ms: u64,
 ) -> eyre::Result<PeerUpdate> {
-    let kept = client.take().filter(|(address, _)| address == peer);
-    let (address, mut kept) = match kept {
-        Some(kept) => kept,
+    let existing = client.take().filter(|(address, _)| address == peer);
+    let (address, mut connection) = match existing {
+        Some(existing) => existing,
         None => (peer.into(), PersistentClient::new(peer.parse()?)),
     };
-    let path = eco_format!("{FACTS_PATH}?after={revision}&wait_ms={wait_ms}");
+    let path = eco_format!("{PEER_SYNC_PATH}?after={revision}&wait_ms={wait_ms}");
     let call = StoreRequest { method: Method::GET, path, body: Bytes::new() };
     let limit = CALL_TIMEOUT + Duration::from_millis(wait_ms);
-    let (status, body) = kept.call(call, limit).await?;
-    ensure!(status == StatusCode::OK, "status {status}");
-    *client = Some((address, kept));
+    let (status, body) = connection.call(call, limit).await?;
+    ensure!(status == StatusCode::OK, "the peer answered with status {status}");
+    *client = Some((address, connection));
     Ok(postcard::from_bytes(&body)?)
 }
 
-/// Takes what a peer told in.
-fn apply_update(state: &ControlState, told: PeerUpdate) {
-    let hold_until_us = state.clock.now_us() + told.expired_hold_ms * US_PER_MS;
-    // Also from a peer that has it from others: whoever read the store says how long entries
-    // that lapsed may take, and that is passed on.
+/// Applies a peer's update to the registry.
+fn apply_update(state: &ControlState, update: PeerUpdate) {
+    let hold_until_us = state.clock.now_us() + update.expired_hold_ms * US_PER_MS;
+    // Applies also if the peer itself synced from another peer: the node that read the store
+    // decides how long expired entries may come back, and each peer passes that time on.
     state.apply_events([DiscoveryEvent::PeerSyncStarted]);
-    let revision = told.revision;
-    let hold =
-        (told.expired_hold_ms > 0).then_some(DiscoveryEvent::HoldUntil { until_us: hold_until_us });
-    if !told.is_delta {
-        let whole = DiscoveryEvent::PeerEntries { entries: told.facts, revision: told.revision };
-        state.apply_events(hold.into_iter().chain([whole]));
+    let revision = update.revision;
+    let hold = (update.expired_hold_ms > 0)
+        .then_some(DiscoveryEvent::HoldUntil { until_us: hold_until_us });
+    if !update.is_delta {
+        let all_entries =
+            DiscoveryEvent::PeerEntries { entries: update.entries, revision: update.revision };
+        state.apply_events(hold.into_iter().chain([all_entries]));
         return state.advance_revision(revision);
     }
-    let seen = |(fact, revision)| DiscoveryEvent::EntrySeen { entry: fact, revision };
-    let gone = |(subject, revision)| DiscoveryEvent::EntryRemoved { key: subject, revision };
-    let changes = told.facts.into_iter().map(seen).chain(told.removed.into_iter().map(gone));
+    let to_seen = |(entry, revision)| DiscoveryEvent::EntrySeen { entry, revision };
+    let to_removed = |(key, revision)| DiscoveryEvent::EntryRemoved { key, revision };
+    let changes =
+        update.entries.into_iter().map(to_seen).chain(update.removed.into_iter().map(to_removed));
     state.apply_events(hold.into_iter().chain(changes));
     state.advance_revision(revision);
 }
@@ -231,54 +258,56 @@
     request: Request<Incoming>,
 ) -> Result<Response<Full<Bytes>>, Infallible> {
     let mut answer = Response::new(Full::default());
-    if request.uri().path() != FACTS_PATH {
+    if request.uri().path() != PEER_SYNC_PATH {
         *answer.status_mut() = StatusCode::NOT_FOUND;
         return Ok(answer);
     }
     let (after, wait_ms) = parse_query(request.uri().query().unwrap_or(""));
     let wait = Duration::from_millis(wait_ms.min(FOLLOW_WAIT_MS));
-    // The end of the wait is an answer too: it shows that this node is alive.
+    // Answers after a timeout too: that shows the peer that this node is alive.
     let _ = timeout(wait, state.wait_past_revision(after)).await;
-    let facts = build_update(&state, after);
-    match postcard::to_stdvec(&facts) {
+    let update = build_update(&state, after);
+    match postcard::to_stdvec(&update) {
         Ok(body) => {
-            state.count_facts_answer(facts.is_delta, body.len());
+            state.count_sync_answer(update.is_delta, body.len());
             *answer.body_mut() = Full::from(body);
         }
         Err(error) => {
-            log::error!(error:%; "the facts cannot be written");
+            log::error!(error:%; "cannot encode the registry entries for a peer");
             *answer.status_mut() = StatusCode::INTERNAL_SERVER_ERROR;
         }
     }
     Ok(answer)
 }
 
-/// The revision and the wait that a peer asks for.
+/// Returns the revision and the wait time in milliseconds that a peer requests.
 fn parse_query(query: &str) -> (u64, u64) {
     let number = |name: &str| {
         let mut pairs = query.split('&').filter_map(|pair| pair.split_once('='));
         let value = pairs.find(|(key, _)| *key == name).map(|(_, value)| value);
-        // A peer of another version may ask for less: then it is told everything at once.
+        // A peer of another version may omit a parameter: with zeros it gets everything at once.
         value.and_then(|value| value.parse().ok()).unwrap_or(0)
     };
     (number("after"), number("wait_ms"))
 }
 
-/// What a peer that knows everything up to a revision must be told.
+/// Builds the update for a peer that has applied a revision.
+///
+/// Holds all entries if the change log does not reach back to that revision.
 fn build_update(state: &ControlState, after: u64) -> PeerUpdate {
     let discovery = state.discovery.borrow();
     let hold_us = discovery.hold_until_us().saturating_sub(state.clock.now_us());
     let changes = discovery.changes_after(after);
-    let is_change = changes.is_some();
-    let (facts, gone) = match changes {
+    let is_delta = changes.is_some();
+    let (entries, removed) = match changes {
         Some(changes) => (changes.updated, changes.removed),
         None => (discovery.entries(), Vec::new()),
     };
     PeerUpdate {
         revision: state.store_revision(),
-        facts,
-        removed: gone,
-        is_delta: is_change,
+        entries,
+        removed,
+        is_delta,
         is_store_unavailable: state.is_store_unavailable(),
         expired_hold_ms: hold_us / US_PER_MS,
     }
--- a/crates/sassafrasproxy-gateway/src/registration.rs
+++ b/crates/sassafrasproxy-gateway/src/registration.rs
@@ -1,4 +1,4 @@
-//! Keeping this node registered in the store, where new nodes look for others.
+//! Keeps this node registered in the store, where starting nodes find peers.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -13,22 +13,26 @@
 use crate::control::{CALL_TIMEOUT, ControlState};
 use crate::http_client::PersistentClient;
 
-/// How long a registration lasts without being renewed, in milliseconds.
+/// The time to live of a registration's lease, in milliseconds.
 ///
-/// Only new nodes look for it; who is alive, heartbeats tell. So it may be long and cost little.
+/// Only starting nodes use registrations; heartbeats show which nodes are alive. The lease can
+/// therefore be long, which keeps the load on the store low.
 const REGISTRATION_TTL_MS: u64 = 30_000;
 
-/// How often the registration is renewed: three times in its life.
+/// The interval between lease renewals; three fit into the time to live.
 const RENEW_INTERVAL: Duration = Duration::from_secs(10);
 
-/// The pause before a registration that failed is tried again.
+/// The minimum delay before a failed registration is retried; up to as much again is added at
+/// random.
 const REGISTER_RETRY_DELAY: Duration = Duration::from_millis(700);
 
-/// How often a node that need not be registered looks whether that has changed.
+/// The interval at which an unregistered node checks whether it should register.
 const ROLE_CHECK_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Keeps this node registered if it is one of the few that are, also after its entry was taken away.
-pub async fn keep_registered(state: Rc<ControlState>, me: MemberUpdate) {
+/// Keeps this node registered if it is one of the few nodes that should be.
+///
+/// Registers again if the entry was removed from the store.
+pub async fn keep_registered(state: Rc<ControlState>, local_member: MemberUpdate) {
     let mut client = PersistentClient::new(state.settings().store);
     let mut lease = None;
     loop {
@@ -36,25 +40,25 @@
             sleep(ROLE_CHECK_INTERVAL).await;
             continue;
         }
-        let is_there = state.discovery.borrow().is_registered(&me.node);
-        let (call, result) = match lease.filter(|_| is_there) {
+        let is_registered = state.discovery.borrow().is_registered(&local_member.node);
+        let (call, result) = match lease.filter(|_| is_registered) {
             Some(lease) => ("renew", renew(&mut client, lease).await),
             None => {
                 let node_count = state.gossip.borrow().node_count() as u32;
-                let registered = register(&mut client, &me, node_count).await;
+                let registered = register(&mut client, &local_member, node_count).await;
                 ("register", registered.map(|id| lease = Some(id)))
             }
         };
         state.count_store_call(call, result.as_ref().err());
-        let pause = match result {
+        let delay = match result {
             Ok(()) => RENEW_INTERVAL,
             Err(error) => {
-                log::info!(error:%; "this node's registration failed");
+                log::info!(error:%; "registering this node in the store failed; retrying");
                 lease = None;
                 REGISTER_RETRY_DELAY.mul_f64(1.0 + rand::random::<f64>())
             }
         };
-        sleep(pause).await;
+        sleep(delay).await;
     }
 }
 
@@ -66,17 +70,17 @@
 /// Registers this node under a new lease.
 async fn register(
     client: &mut PersistentClient,
-    me: &MemberUpdate,
+    local_member: &MemberUpdate,
     node_count: u32,
 ) -> Result<u64, StoreError> {
     let (status, body) =
         client.call(StoreRequest::grant_lease(REGISTRATION_TTL_MS), CALL_TIMEOUT).await?;
     let lease = decode_lease(status, &body)?.id;
-    let member = MemberUpdate { state: MemberState::Alive, ..me.clone() };
+    let member = MemberUpdate { state: MemberState::Alive, ..local_member.clone() };
     let value = serde_json::to_vec(&NodeRegistration { member, node_count });
     let value =
         value.map_err(|error| StoreError::Malformed { detail: ecow::eco_format!("{error}") })?;
-    let put = StoreRequest::put(&node_key(&me.node), &value, lease);
+    let put = StoreRequest::put(&node_key(&local_member.node), &value, lease);
     let (status, _) = client.call(put, CALL_TIMEOUT).await?;
     decode_write_status(status)?;
     Ok(lease)
--- a/crates/sassafrasproxy-gateway/src/reload.rs
+++ b/crates/sassafrasproxy-gateway/src/reload.rs
@@ -1,4 +1,4 @@
-//! Taking changed settings in while the process runs.
+//! Reloads the settings file while the process runs.
 
 use std::path::PathBuf;
 use std::sync::Arc;
@@ -9,31 +9,36 @@
 use tokio::sync::watch;
 use tokio::time::sleep;
 
-/// How often the file is read for changes that no signal tells of.
+/// The interval at which the file is read for changes without a signal.
 ///
-/// Settings bound budgets over ten seconds and more; two seconds are soon enough, at the cost
-/// of one small file read.
+/// Settings limit budgets over ten seconds or more, so that a delay of two seconds is acceptable;
+/// it costs one read of a small file.
 const READ_INTERVAL: Duration = Duration::from_secs(2);
 
-/// Reads the settings again at each SIGHUP and now and then, for as long as the process runs.
+/// Reloads the settings at each SIGHUP and every [`READ_INTERVAL`] for as long as the process runs.
 ///
-/// A file that cannot be used leaves the settings in force. Addresses are taken at the start
-/// only: a process keeps the sockets that it has.
+/// An invalid file leaves the settings unchanged. Changed listen addresses take effect at a restart
+/// only: the process keeps its sockets.
 pub async fn watch_settings_file(file: PathBuf, settings: watch::Sender<Arc<GatewaySettings>>) {
     let mut hangup = match signal(SignalKind::hangup()) {
         Ok(hangup) => hangup,
-        Err(error) => return log::error!(error:%; "SIGHUP cannot be heard"),
+        Err(error) => {
+            return log::error!(
+                error:%;
+                "cannot handle SIGHUP; changed settings take effect at a restart only"
+            );
+        }
     };
-    // What was found bad is told once, not every two seconds.
-    let mut last_bad = None;
+    // An unchanged problem is logged once, not at every read.
+    let mut last_problem = None;
     loop {
-        let is_told = tokio::select! {
+        let is_requested = tokio::select! {
             _ = hangup.recv() => true,
             () = sleep(READ_INTERVAL) => false,
         };
         match GatewaySettings::load(&file) {
             Ok(read) => {
-                last_bad = None;
+                last_problem = None;
                 let is_changed = settings.send_if_modified(|known| {
                     let is_changed = **known != read;
                     if is_changed {
@@ -41,13 +46,13 @@
                     }
                     is_changed
                 });
-                if is_told || is_changed {
-                    log::info!(is_told, is_changed; "settings were read again");
+                if is_requested || is_changed {
+                    log::info!(is_told = is_requested, is_changed; "reloaded the settings");
                 }
             }
-            Err(problem) if is_told || last_bad.as_ref() != Some(&problem) => {
-                log::error!(problem:%; "the settings in force stay");
-                last_bad = Some(problem);
+            Err(problem) if is_requested || last_problem.as_ref() != Some(&problem) => {
+                log::error!(problem:%; "the settings file is invalid; keeping the active settings");
+                last_problem = Some(problem);
             }
             Err(_) => {}
         }
--- a/crates/sassafrasproxy-gateway/src/rollouts.rs
+++ b/crates/sassafrasproxy-gateway/src/rollouts.rs
@@ -1,4 +1,4 @@
-//! Roll-outs: what the decider is told, and what it asks for.
+//! Feeds the rollout coordinator with reports and carries out its decisions.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -18,12 +18,14 @@
 use crate::control::{CALL_TIMEOUT, ControlState};
 use crate::http_client::PersistentClient;
 
-/// How often roll-outs are looked at, and what nodes counted is told.
+/// The interval between coordinator steps, and between trial reports.
 pub const TRIAL_INTERVAL: Duration = Duration::from_millis(250);
 
-/// Decides on roll-outs for as long as the process runs; `stops` brings orders that must be left
-/// at once to the task that tells the peers.
-pub async fn run_coordinator(state: Rc<ControlState>, stops: mpsc::UnboundedSender<u64>) {
+/// Runs the rollout coordinator for as long as the process runs.
+///
+/// `stopped_orders` passes the revisions of stopped orders to the task that sends datagrams to
+/// peers.
+pub async fn run_coordinator(state: Rc<ControlState>, stopped_orders: mpsc::UnboundedSender<u64>) {
     let mut client = PersistentClient::new(state.settings().store);
     loop {
         let states = state.discovery.borrow().rollouts();
@@ -37,11 +39,11 @@
         let now_us = state.clock.now_us();
         let nodes = state.gossip.borrow().rollout_nodes(now_us);
         let effects = {
-            let mut decider = state.rollout_coordinator.borrow_mut();
-            let effects = decider.step(now_us, &states, &nodes, &policy);
-            for note in decider.take_log_events() {
-                state.count_rollout_step(&note);
-                log_note(&note);
+            let mut coordinator = state.rollout_coordinator.borrow_mut();
+            let effects = coordinator.step(now_us, &states, &nodes, &policy);
+            for log_event in coordinator.take_log_events() {
+                state.count_rollout_step(&log_event);
+                log_rollout_event(&log_event);
             }
             effects
         };
@@ -49,8 +51,8 @@
             match effect {
                 RolloutEffect::Stop { order_revision } => {
                     state.apply_events([DiscoveryEvent::RolloutStopped { order_revision }]);
-                    // Without the task there are no peers to tell.
-                    let _ = stops.send(order_revision);
+                    // Fails only if the gossip task has ended, so that no peer can be reached.
+                    let _ = stopped_orders.send(order_revision);
                 }
                 RolloutEffect::Write { record, expected_revision } => {
                     write_record(&state, &mut client, &record, expected_revision).await;
@@ -60,28 +62,30 @@
     }
 }
 
-/// Takes what this node counted in, and returns what to send of it.
+/// Records this node's trial reports and returns the datagrams that pass them to the coordinator.
+///
+/// A report needs no datagram if this node is the coordinator.
 pub fn report_local_trials(
     state: &ControlState,
     reports: Vec<TrialReport>,
 ) -> Vec<OutgoingDatagram> {
     let now_us = state.clock.now_us();
-    let mut sends = Vec::new();
+    let mut datagrams = Vec::new();
     state.set_trial_counts(&reports);
     for report in reports {
-        let send = state.gossip.borrow_mut().report_trial(now_us, report.clone());
-        match send {
-            Some(send) => sends.push(send),
+        let datagram = state.gossip.borrow_mut().report_trial(now_us, report.clone());
+        match datagram {
+            Some(datagram) => datagrams.push(datagram),
             None => {
-                let me = state.settings().name.clone();
-                state.rollout_coordinator.borrow_mut().add_report(now_us, &me, &report);
+                let local_node = state.settings().name.clone();
+                state.rollout_coordinator.borrow_mut().add_report(now_us, &local_node, &report);
             }
         }
     }
-    sends
+    datagrams
 }
 
-/// Takes what a peer counted in.
+/// Records a peer's trial reports.
 pub fn record_peer_trials(state: &ControlState, node: &EcoString, reports: &[TrialReport]) {
     let now_us = state.clock.now_us();
     for report in reports {
@@ -89,10 +93,10 @@
     }
 }
 
-/// Writes a record and what operators read of it.
+/// Writes a rollout record together with the status that operators read.
 ///
-/// A write without an answer may have been done, or may be done later: the record's next revision
-/// tells, and the decider tries again until it sees one.
+/// A write without an answer may have been applied, or may be applied later. The coordinator
+/// retries until it sees a new revision of the record.
 async fn write_record(
     state: &ControlState,
     client: &mut PersistentClient,
@@ -106,7 +110,7 @@
     };
     let value = match serde_json::to_vec(record) {
         Ok(value) => value,
-        Err(error) => return log::error!(error:%; "the record of a roll-out cannot be written"),
+        Err(error) => return log::error!(error:%; "cannot encode a rollout record"),
     };
     let status = encode_rollout_status(status, &record.target_version);
     let service = &record.service;
@@ -118,19 +122,19 @@
     match result {
         Ok(()) => {}
         Err(StoreError::Conflict) => {
-            log::info!(service:%; "another write to the record of a roll-out was first");
+            log::info!(service:%; "the rollout record was not written: its revision has changed");
         }
         Err(error) => {
             client.disconnect();
-            log::warn!(service:%, error:%; "the record of a roll-out was not written, or no answer came");
+            log::warn!(service:%, error:%; "writing a rollout record failed or was not confirmed");
         }
     }
 }
 
-fn log_note(note: &RolloutLogEvent) {
-    match note {
+fn log_rollout_event(log_event: &RolloutLogEvent) {
+    match log_event {
         RolloutLogEvent::UnknownService { service } => {
-            log::warn!(service:%; "a roll-out is ordered for a service that nobody knows");
+            log::warn!(service:%; "a rollout order names an unknown service");
         }
         RolloutLogEvent::PhaseChange {
             service,
@@ -143,7 +147,7 @@
         } => {
             log::info!(
                 service:%, target_version:%, phase:?, elapsed_ms, ended, bad, score;
-                "a roll-out goes on"
+                "the coordinator changes the phase of a rollout"
             );
         }
     }
--- a/crates/sassafrasproxy-gateway/src/store_events.rs
+++ b/crates/sassafrasproxy-gateway/src/store_events.rs
@@ -1,4 +1,4 @@
-//! Reading what stands in the store as facts.
+//! Decodes items and changes of the store into discovery events.
 
 use ecow::EcoString;
 use sassafrasproxy_core::{DiscoveryEvent, RegistryEntry, RegistryKey, RolloutOrder};
@@ -8,34 +8,34 @@
 };
 use serde::de::DeserializeOwned;
 
-/// The event for a change that a watch brought; `None` for what concerns nobody here.
+/// Returns the event for a change from a watch, or `None` if it does not concern this node.
 pub fn change_event(change: StoreChange) -> Option<DiscoveryEvent> {
     match change {
         StoreChange::Put(item) => item_event(item),
         StoreChange::Removed { key, revision } => {
-            let subject = key_subject(StoreKey::parse(&key))?;
-            Some(DiscoveryEvent::EntryRemoved { key: subject, revision })
+            let key = registry_key(StoreKey::parse(&key))?;
+            Some(DiscoveryEvent::EntryRemoved { key, revision })
         }
     }
 }
 
-/// The event for an item of a list or a watch; `None` for what concerns nobody here.
+/// Returns the event for an item of a list or a watch, or `None` if it does not concern this node.
 ///
-/// An item that cannot be read stands for nothing: its subject is gone, and one log line says
-/// why. The others hold. An order of a roll-out that cannot be read changes nothing: the one before
-/// it holds on.
+/// An item that cannot be decoded counts as removed, and one log line gives the reason; other items
+/// are not affected. A rollout order that cannot be decoded is ignored instead: the previous order
+/// stays active.
 pub fn item_event(item: StoreItem) -> Option<DiscoveryEvent> {
     let revision = item.revision;
     let key = StoreKey::parse(&item.key);
-    let fact = item.value.and_then(|value| decode_entry(&key, &value));
-    match fact {
-        Ok(fact) => fact.map(|fact| DiscoveryEvent::EntrySeen { entry: fact, revision }),
+    let entry = item.value.and_then(|value| decode_entry(&key, &value));
+    match entry {
+        Ok(entry) => entry.map(|entry| DiscoveryEvent::EntrySeen { entry, revision }),
         Err(error) => {
-            log::warn!(revision, error:%; "an item of the store is ignored");
+            log::warn!(revision, error:%; "ignored a store item that cannot be decoded");
             if matches!(key, StoreKey::RolloutOrder(_)) {
                 return None;
             }
-            Some(DiscoveryEvent::EntryRemoved { key: key_subject(key)?, revision })
+            Some(DiscoveryEvent::EntryRemoved { key: registry_key(key)?, revision })
         }
     }
 }
@@ -45,23 +45,28 @@
         StoreKey::Configuration => Some(RegistryEntry::Configuration(decode_configuration(value)?)),
         StoreKey::DomainOut(domain) => Some(RegistryEntry::DomainOut(domain.clone())),
         StoreKey::Replica(id) => Some(RegistryEntry::Replica(decode_replica(id, value)?)),
-        StoreKey::Node(name) => decode_own_record(name, value).map(RegistryEntry::Node),
+        StoreKey::Node(name) => decode_node_record(name, value).map(RegistryEntry::Node),
         StoreKey::RolloutOrder(service) => {
             Some(RegistryEntry::RolloutOrder(decode_order(service, value)?))
         }
         StoreKey::RolloutRecord(service) => {
-            decode_own_record(service, value).map(RegistryEntry::RolloutRecord)
+            decode_node_record(service, value).map(RegistryEntry::RolloutRecord)
         }
         StoreKey::Unrecognized => None,
     })
 }
 
-/// A node's registration or the record of a roll-out, which this system writes itself.
-fn decode_own_record<T: DeserializeOwned>(name: &EcoString, value: &[u8]) -> Option<T> {
+/// Decodes an entry that nodes write themselves: a node registration or a rollout record.
+///
+/// Returns `None` for one that cannot be decoded.
+fn decode_node_record<T: DeserializeOwned>(name: &EcoString, value: &[u8]) -> Option<T> {
     match serde_json::from_slice(value) {
-        Ok(fact) => Some(fact),
+        Ok(record) => Some(record),
         Err(error) => {
-            log::warn!(name:%, error:%; "what a node wrote cannot be read");
+            log::warn!(
+                name:%, error:%;
+                "ignored a node registration or rollout record that cannot be decoded"
+            );
             None
         }
     }
@@ -76,7 +81,7 @@
     })
 }
 
-fn key_subject(key: StoreKey) -> Option<RegistryKey> {
+fn registry_key(key: StoreKey) -> Option<RegistryKey> {
     match key {
         StoreKey::Configuration => Some(RegistryKey::Configuration),
         StoreKey::DomainOut(domain) => Some(RegistryKey::DomainOut(domain)),
--- a/crates/sassafrasproxy-gateway/src/store_follower.rs
+++ b/crates/sassafrasproxy-gateway/src/store_follower.rs
@@ -1,4 +1,5 @@
-//! Following the store: the calls that the reducer asks for.
+//! Keeps the registry in sync by the list and watch calls that [`StoreSync`] asks for, or through a
+//! followed peer.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -18,28 +19,29 @@
 use crate::peer_sync::{FollowResult, FollowedPeer};
 use crate::store_events::{change_event, item_event};
 
-/// How often a waiting watch is compared with what peers know.
+/// The interval at which a waiting watch is compared with the peers' revisions.
 const LAG_CHECK_INTERVAL: Duration = Duration::from_millis(500);
 
-/// In how many comparisons in a row peers must know more before a watch is given up.
+/// The number of consecutive comparisons that must find this node behind before a watch is aborted.
 ///
-/// Between the returns of two watches for one change lies at most the pause after a change, 0.4 s:
-/// a node that only pauses can look behind in one comparison, but not in two.
+/// Two nodes' watches return the same change at most 0.4 s apart, which is the pause after a
+/// change: a node that only pauses can look behind in one comparison, but not in two.
 const LAG_CHECK_COUNT: u32 = 2;
 
-/// How often a node that has just started looks whether it has heard of a peer to start from.
+/// The interval at which a starting node checks whether a peer to bootstrap from is known.
 const PEER_CHECK_INTERVAL: Duration = Duration::from_millis(50);
 
-/// The least pause after a peer could not be followed.
+/// The minimum delay after a failed sync from a peer; up to as much again is added at random.
 const FOLLOW_RETRY_DELAY: Duration = Duration::from_millis(100);
 
-/// Lists and watches the store for as long as the process runs.
-pub async fn follow_store(state: Rc<ControlState>, asked: watch::Receiver<bool>) {
+/// Syncs the registry from the store or a peer for as long as the process runs.
+pub async fn follow_store(state: Rc<ControlState>, configuration_needed: watch::Receiver<bool>) {
     let mut client = PersistentClient::new(state.settings().store);
     let mut peer = FollowedPeer::default();
     let mut sync = StoreSync::new(StoreSyncPolicy::default(), rand::random());
-    // A node that starts from the store has met nobody yet, and need not wait until it has.
-    let mut may_follow = start_from_peer(&state, &mut peer, asked).await;
+    // A node that bootstraps from the store knows no peers yet and must not wait for them: its
+    // first read goes to the store.
+    let mut may_follow = bootstrap_from_peer(&state, &mut peer, configuration_needed).await;
     if may_follow {
         sync.resume_from(state.store_revision());
     }
@@ -80,7 +82,7 @@
         state.count_store_call(call, outcome.as_ref().err());
         state.record_store_read(outcome.as_ref().err());
         let outcome = outcome.unwrap_or_else(|error| {
-            log::info!(error:%; "a read of the store failed");
+            log::info!(error:%; "a store read failed");
             client.disconnect();
             match error {
                 StoreError::HistoryCompacted => StoreCallOutcome::HistoryCompacted,
@@ -90,40 +92,41 @@
         if sync.record_outcome(state.clock.now_us(), outcome) {
             state.apply_events([DiscoveryEvent::ListEnded]);
         }
-        // Only now: peers that wait for this revision are told what was discovered up to it.
+        // Must come after the events are applied: this wakes peers that wait for the revision, and
+        // they get the entries known at that time.
         state.advance_revision(sync.synced_revision());
     }
 }
 
-/// Learns what stands in the store from a peer, if this node is to; returns whether it did.
+/// Bootstraps the registry from a peer if this node should use one; returns whether it did.
 ///
-/// A node that callers ask already reads the store at once: after a loss of all nodes the
-/// directory of one that has met nobody names itself.
-async fn start_from_peer(
+/// A node that already gets requests reads the store at once: when all nodes restart, the directory
+/// of a node that knows no peers names the node itself, so callers are sent to it and refused.
+async fn bootstrap_from_peer(
     state: &ControlState,
     peer: &mut FollowedPeer,
-    mut asked: watch::Receiver<bool>,
+    mut configuration_needed: watch::Receiver<bool>,
 ) -> bool {
     loop {
-        let start_from = state.gossip.borrow().bootstrap_source(state.clock.now_us());
-        match start_from {
+        let source = state.gossip.borrow().bootstrap_source(state.clock.now_us());
+        match source {
             BootstrapSource::Store => return false,
             BootstrapSource::Peer { peer_address } => {
                 return peer.bootstrap(state, &peer_address).await;
             }
-            BootstrapSource::Undecided if *asked.borrow_and_update() => {
+            BootstrapSource::Undecided if *configuration_needed.borrow_and_update() => {
                 log::info!("a caller asks before the store was read");
                 return false;
             }
             BootstrapSource::Undecided => {
-                // Either end of the wait means to look again.
-                let _ = timeout(PEER_CHECK_INTERVAL, asked.changed()).await;
+                // Checks again after a notification as well as after the timeout.
+                let _ = timeout(PEER_CHECK_INTERVAL, configuration_needed.changed()).await;
             }
         }
     }
 }
 
-/// Reads one page of the list.
+/// Reads and applies one page of the list.
 async fn list_page(
     state: &ControlState,
     client: &mut PersistentClient,
@@ -136,12 +139,12 @@
         state.apply_events([DiscoveryEvent::ListStarted { revision: page.store_revision }]);
     }
     let last_key: Option<EcoString> = page.items.last().map(|item| item.key.clone());
-    let next_after = last_key.filter(|_| page.has_more);
+    let next_after_key = last_key.filter(|_| page.has_more);
     state.apply_events(page.items.into_iter().filter_map(item_event));
-    Ok(StoreCallOutcome::Page { revision: page.store_revision, next_after_key: next_after })
+    Ok(StoreCallOutcome::Page { revision: page.store_revision, next_after_key })
 }
 
-/// Waits for changes.
+/// Watches the store after a revision and applies the changes that the watch returns.
 async fn wait_for_changes(
     state: &ControlState,
     client: &mut PersistentClient,
@@ -157,18 +160,19 @@
     Ok(StoreCallOutcome::WatchCompleted { revision, has_changes })
 }
 
-/// Ends when peers have known more of the store than this node for a while.
+/// Returns an error once peers have had a newer store revision than this node for
+/// [`LAG_CHECK_COUNT`] checks in a row.
 ///
-/// Guards against a watch whose connection went silent: the change that it should have brought
-/// shows in the peers' heartbeats long before the watch would have come back.
+/// Guards against a watch on a stalled connection: the peers' heartbeats announce the missed
+/// revision long before the watch times out.
 pub async fn wait_until_behind(state: &ControlState) -> StoreError {
-    let mut behind = 0;
-    while behind < LAG_CHECK_COUNT {
+    let mut behind_count = 0;
+    while behind_count < LAG_CHECK_COUNT {
         sleep(LAG_CHECK_INTERVAL).await;
         let is_behind = state.gossip.borrow().most_advanced_peer().is_some();
-        behind = if is_behind { behind + 1 } else { 0 };
+        behind_count = if is_behind { behind_count + 1 } else { 0 };
     }
     StoreError::NoAnswer {
-        detail: "peers have heard of changes that the watch did not bring".into(),
+        detail: "peers have a newer store revision than this call returned".into(),
     }
 }
--- a/crates/sassafrasproxy-gateway/src/view.rs
+++ b/crates/sassafrasproxy-gateway/src/view.rs
@@ -1,16 +1,16 @@
-//! What the control thread publishes to the traffic thread.
+//! The view that the control thread publishes to the traffic thread.
 
 use std::sync::Arc;
 
 use sassafrasproxy_core::{Catalogue, DirectoryNode};
 
-/// An immutable picture of the control state, replaced as a whole.
+/// An immutable snapshot of the control state, replaced as a whole.
 #[derive(Debug, Clone, Default)]
 pub struct GatewayView {
-    /// Configuration and replicas.
+    /// The configuration and the replicas.
     pub catalogue: Arc<Catalogue>,
-    /// All nodes that are not dead.
+    /// All nodes that are not dead, as the directory needs them.
     pub nodes: Arc<Vec<DirectoryNode>>,
-    /// How many nodes there are by the registrations in the store.
+    /// The number of nodes according to the registrations in the store.
     pub registered_node_count: usize,
 }
