--- a/crates/sassafrasproxy-cli/tests/gateway_rollouts.rs
+++ b/crates/sassafrasproxy-cli/tests/gateway_rollouts.rs
@@ -33,8 +33,8 @@
         let replica = ReplicaStandIn::start(&format!("n{copy}"), "desk", "found anew");
         system.replicas.push(replica.with_version("v2"));
     }
-    for at in 0..2 {
-        system.ask_until(at, "/desk/1", |answer| answer.status == 200).await;
+    for index in 0..2 {
+        system.ask_until(index, "/desk/1", |answer| answer.status == 200).await;
     }
     system
 }
@@ -60,11 +60,12 @@
     let callers: Vec<_> = system.gateways.iter().map(GatewayProcess::callers_address).collect();
     let task_results = results.clone();
     let task = tokio::spawn(async move {
-        for at in (0..callers.len()).cycle() {
+        for index in (0..callers.len()).cycle() {
             if task_results.is_done.load(Ordering::Relaxed) {
                 return;
             }
-            let answer = send_get(callers[at], HOST, "/desk/7", &unique_attempt_id(), 2_000).await;
+            let answer =
+                send_get(callers[index], HOST, "/desk/7", &unique_attempt_id(), 2_000).await;
             task_results.request_count.fetch_add(1, Ordering::Relaxed);
             if !answer.as_ref().is_ok_and(|answer| answer.status == 200) {
                 task_results.failure_count.fetch_add(1, Ordering::Relaxed);
@@ -108,8 +109,8 @@
     let results = ask_until_state(&system, "completed").await;
     assert_eq!(results.failure_count.into_inner(), 0, "{:?}", results.failures);
     let before = run_count(&system, ["da", "db"]);
-    for at in 0..2 {
-        let answer = system.ask(at, "/desk/7").await;
+    for index in 0..2 {
+        let answer = system.ask(index, "/desk/7").await;
         assert_eq!(&answer.body[..], b"found anew");
     }
     assert_eq!(run_count(&system, ["da", "db"]), before, "the old version still gets requests");
@@ -132,8 +133,8 @@
     let exposed = run_count(&system, ["na", "nb"]) as f64;
     assert!(exposed <= 50.0 + 0.1 * results.request_count.into_inner() as f64, "{exposed}");
     let before = run_count(&system, ["na", "nb"]);
-    for at in 0..2 {
-        system.ask(at, "/desk/7").await;
+    for index in 0..2 {
+        system.ask(index, "/desk/7").await;
     }
     assert_eq!(run_count(&system, ["na", "nb"]), before, "the bad version still gets requests");
 }
@@ -145,8 +146,8 @@
     register_new_version(&system);
     system.gateways[0].wait_for_log_line("a replica is listed").unwrap();
     for _ in 0..20 {
-        for at in 0..2 {
-            assert_eq!(system.ask(at, "/desk/7").await.status, 200);
+        for index in 0..2 {
+            assert_eq!(system.ask(index, "/desk/7").await.status, 200);
         }
     }
     assert_eq!(run_count(&system, ["na", "nb"]), 0);
@@ -169,8 +170,8 @@
     }
     // No status can be written now, but callers must still be served.
     for _ in 0..200 {
-        for at in 0..2 {
-            assert_eq!(system.ask(at, "/desk/7").await.status, 200);
+        for index in 0..2 {
+            assert_eq!(system.ask(index, "/desk/7").await.status, 200);
         }
     }
     system.store.set_mode(StoreMode::Up);
--- a/crates/sassafrasproxy-cli/tests/gateway_store.rs
+++ b/crates/sassafrasproxy-cli/tests/gateway_store.rs
@@ -36,12 +36,13 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn serves_during_store_outages() {
     let mut system = Cluster::start(1).await;
-    for (at, mode) in [StoreMode::Refusing(503), StoreMode::Refusing(429), StoreMode::Unresponsive]
-        .into_iter()
-        .enumerate()
+    for (index, mode) in
+        [StoreMode::Refusing(503), StoreMode::Refusing(429), StoreMode::Unresponsive]
+            .into_iter()
+            .enumerate()
     {
         system.store.set_mode(mode);
-        let name = format!("new{at}");
+        let name = format!("new{index}");
         system.publish(&routes_with(&name));
         system.store.compact();
         for _ in 0..20 {
@@ -62,9 +63,9 @@
     system.store.corrupt_replica_entry("half", br#"{"service":"desk"}"#);
     system.store.put("somebody/else", b"x");
     system.store.set_page_size(3);
-    let at = system.add_gateway();
-    system.ask_until(at, "/all/7", |answer| answer.status == 200).await;
-    assert_eq!(system.ask(at, "/desk/7").await.status, 200);
+    let index = system.add_gateway();
+    system.ask_until(index, "/all/7", |answer| answer.status == 200).await;
+    assert_eq!(system.ask(index, "/desk/7").await.status, 200);
 }
 
 /// Guards against a node that cannot serve because the store refuses its calls from the start.
@@ -74,10 +75,10 @@
 async fn reads_entries_from_peers() {
     let mut system = Cluster::start(1).await;
     system.store.set_mode(StoreMode::Refusing(503));
-    let at = system.add_gateway();
-    system.ask_until(at, "/all/7", |answer| answer.status == 200).await;
-    assert_eq!(system.ask(at, "/desk/7").await.status, 200);
-    system.gateways[at].wait_for_log_line("pulled registry entries from a peer").unwrap();
+    let index = system.add_gateway();
+    system.ask_until(index, "/all/7", |answer| answer.status == 200).await;
+    assert_eq!(system.ask(index, "/desk/7").await.status, 200);
+    system.gateways[index].wait_for_log_line("pulled registry entries from a peer").unwrap();
 }
 
 /// Guards against a bootstrap across failure domains.
@@ -98,8 +99,8 @@
     assert!(lines.iter().all(|line| line["message"] != "bootstrapped from a peer"));
     // Later changes must reach both nodes.
     system.publish(&routes_with("later"));
-    for at in [small, alone] {
-        system.ask_until(at, "/later/7", |answer| answer.status == 200).await;
+    for index in [small, alone] {
+        system.ask_until(index, "/later/7", |answer| answer.status == 200).await;
     }
 }
 
@@ -122,9 +123,9 @@
 async fn registers_after_lost_answers() {
     let mut system = Cluster::start(1).await;
     system.store.set_mode(StoreMode::DroppingWriteAnswers);
-    let at = system.add_gateway();
+    let index = system.add_gateway();
     system.store.set_mode(StoreMode::Up);
-    let address = system.gateways[at].callers_address().to_string();
+    let address = system.gateways[index].callers_address().to_string();
     let end = Instant::now() + WAIT_TIMEOUT;
     while !listed_addresses(&system, 0).await.contains(&address) {
         assert!(Instant::now() < end, "the directory never listed the new node");
@@ -202,21 +203,21 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn followers_receive_changes() {
     let mut system = Cluster::start(11).await;
-    let is_follower = |system: &Cluster, at: usize| {
-        let lines = system.gateways[at].log_lines();
+    let is_follower = |system: &Cluster, index: usize| {
+        let lines = system.gateways[index].log_lines();
         lines.iter().any(|line| line["message"] == "syncing from a peer")
     };
     let end = Instant::now() + WAIT_TIMEOUT;
-    while (0..11).filter(|at| is_follower(&system, *at)).count() < 3 {
+    while (0..11).filter(|index| is_follower(&system, *index)).count() < 3 {
         assert!(Instant::now() < end, "no gateway follows a peer");
         tokio::time::sleep(Duration::from_millis(100)).await;
     }
     system.publish(&routes_with("late"));
     system.store.take_domain_out("west");
-    for at in 0..11 {
-        system.ask_until(at, "/late/7", |answer| answer.status == 200).await;
+    for index in 0..11 {
+        system.ask_until(index, "/late/7", |answer| answer.status == 200).await;
         let is_east = |answer: &CallerAnswer| answer.stamp().starts_with("db");
-        system.ask_until(at, "/late/7", is_east).await;
+        system.ask_until(index, "/late/7", is_east).await;
     }
 }
 
@@ -251,7 +252,7 @@
     /// The index of the refused node.
     gateway_index: usize,
     /// Keeps open the store endpoint that refuses the node's calls.
-    _store_proxy: StoreEndpoint,
+    _store_endpoint: StoreEndpoint,
 }
 
 impl std::ops::Deref for RefusedNode {
@@ -284,13 +285,13 @@
     // of each long poll of up to four seconds.
     wait_for_full_membership(&system).await;
     tokio::time::sleep(Duration::from_secs(5)).await;
-    let follows = |system: &Cluster, at: usize| {
-        let lines = system.gateways[at].log_lines();
+    let follows = |system: &Cluster, index: usize| {
+        let lines = system.gateways[index].log_lines();
         lines.into_iter().rfind(|line| line["message"] == "syncing from a peer")
     };
     let end = Instant::now() + WAIT_TIMEOUT;
-    let (at, line) = loop {
-        let found = added.iter().find_map(|at| Some((*at, follows(&system, *at)?)));
+    let (index, line) = loop {
+        let found = added.iter().find_map(|index| Some((*index, follows(&system, *index)?)));
         if let Some(found) = found {
             break found;
         }
@@ -302,10 +303,10 @@
     let followed =
         system.gateways.iter().find(|gateway| gateway.peers_address().to_string() == peer).unwrap();
     followed.signal(Signal::SIGKILL).unwrap();
-    system.gateways[at]
+    system.gateways[index]
         .wait_for_log_line("sync from a peer failed; skipping the peer for a while")
         .unwrap();
-    RefusedNode { cluster: system, gateway_index: at, _store_proxy: endpoint }
+    RefusedNode { cluster: system, gateway_index: index, _store_endpoint: endpoint }
 }
 
 /// Guards against a watcher that misses changes because the store refuses its calls.
@@ -314,15 +315,15 @@
     // All nodes of such a small cluster watch the store.
     let mut system = Cluster::start(3).await;
     let endpoint = system.store.open_endpoint();
-    let at = system.add_gateway_with_store(endpoint.address());
+    let index = system.add_gateway_with_store(endpoint.address());
     wait_for_full_membership(&system).await;
-    system.ask_until(at, "/desk/1", |answer| answer.status == 200).await;
+    system.ask_until(index, "/desk/1", |answer| answer.status == 200).await;
     endpoint.set_refusal_status(Some(503));
-    system.gateways[at].wait_for_log_line("the store is unavailable").unwrap();
+    system.gateways[index].wait_for_log_line("the store is unavailable").unwrap();
     assert_removed_replica_is_idle(&RefusedNode {
         cluster: system,
-        gateway_index: at,
-        _store_proxy: endpoint,
+        gateway_index: index,
+        _store_endpoint: endpoint,
     })
     .await;
 }
--- a/crates/sassafrasproxy-gateway/src/peer_sync.rs
+++ b/crates/sassafrasproxy-gateway/src/peer_sync.rs
@@ -34,7 +34,8 @@
 
 /// The maximum wait of a long poll at a followed peer, in milliseconds.
 ///
-/// The same as the wait of a store watch, for the same reason.
+/// Equal to the timeout of a store watch, for the same reason: it bounds how long a peer that
+/// accepts the call but never answers goes unnoticed.
 const FOLLOW_WAIT_MS: u64 = 4_000;
 
 /// The interval at which a node without access to the store looks for a peer with a newer revision.
--- a/crates/sassafrasproxy-gateway/src/reload.rs
+++ b/crates/sassafrasproxy-gateway/src/reload.rs
@@ -17,8 +17,8 @@
 
 /// Reloads the settings at each SIGHUP and every [`READ_INTERVAL`] for as long as the process runs.
 ///
-/// An invalid file leaves the settings unchanged. Changed listen addresses take effect at a restart
-/// only: the process keeps its sockets.
+/// An invalid file leaves the settings unchanged. Changed addresses take effect at a restart only,
+/// as the process keeps its sockets.
 pub async fn watch_settings_file(file: PathBuf, settings: watch::Sender<Arc<GatewaySettings>>) {
     let mut hangup = match signal(SignalKind::hangup()) {
         Ok(hangup) => hangup,
@@ -37,12 +37,12 @@
             () = sleep(READ_INTERVAL) => false,
         };
         match GatewaySettings::load(&file) {
-            Ok(read) => {
+            Ok(loaded) => {
                 last_problem = None;
-                let is_changed = settings.send_if_modified(|known| {
-                    let is_changed = **known != read;
+                let is_changed = settings.send_if_modified(|active| {
+                    let is_changed = **active != loaded;
                     if is_changed {
-                        *known = Arc::new(read);
+                        *active = Arc::new(loaded);
                     }
                     is_changed
                 });
