--- a/crates/sassafrasproxy-core/examples/rollouts.rs
+++ b/crates/sassafrasproxy-core/examples/rollouts.rs
@@ -44,7 +44,8 @@
         .arg(number("share-part", "0.3"))
         .arg(Arg::new("verbose").long("verbose").num_args(0))
         .get_matches();
-    let fraction = |name: &str| *matches.get_one::<f64>(name).expect("it has a default");
+    let fraction =
+        |name: &str| *matches.get_one::<f64>(name).expect("the argument has a default value");
     let policy = RolloutPolicy {
         trial_fraction: fraction("trial-part"),
         permit_spread_factor: fraction("spread-part"),
@@ -52,8 +53,8 @@
         canary_share_fraction: fraction("share-part"),
         ..RolloutPolicy::new(0.1, 50.0)
     };
-    let seeds = *matches.get_one::<u64>("seeds").expect("it has a default");
-    let first = *matches.get_one::<u64>("first").expect("it has a default");
+    let seeds = *matches.get_one::<u64>("seeds").expect("the argument has a default value");
+    let first = *matches.get_one::<u64>("first").expect("the argument has a default value");
     let mut rows: IndexMap<&str, Row> = IndexMap::new();
     for seed in first..first + seeds {
         for is_bad in [false, true] {
--- a/crates/sassafrasproxy-core/src/forward/callers/caller_delays.rs
+++ b/crates/sassafrasproxy-core/src/forward/callers/caller_delays.rs
@@ -24,7 +24,8 @@
 /// The minimum number of similar setup times that are needed, however few are known.
 const MIN_SUPPORT: usize = 3;
 
-/// The number of known setup times from which the shortest similar ones count as one round trip.
+/// The minimum number of known setup times for the shortest similar ones to count as one round
+/// trip.
 ///
 /// Fewer setup times may contain none of a caller that only had to connect.
 const MIN_SETUPS_FOR_ESTIMATE: usize = 12;
--- a/crates/sassafrasproxy-core/src/forward/callers/request_quarantine.rs
+++ b/crates/sassafrasproxy-core/src/forward/callers/request_quarantine.rs
@@ -63,7 +63,7 @@
 }
 
 impl RequestQuarantine {
-    /// Records a report of this node or of a peer; returns whether it was unknown.
+    /// Records a report of this node or of a peer; returns whether the crash is new.
     pub fn add_report(&mut self, now_us: u64, report: CrashReport) -> bool {
         if self.expiries_us.len() >= MAX_TRACKED_REQUESTS
             && !self.expiries_us.contains_key(&report.fingerprint)
--- a/crates/sassafrasproxy-core/src/forward/mod.rs
+++ b/crates/sassafrasproxy-core/src/forward/mod.rs
@@ -1,4 +1,5 @@
-//! Decisions about opaque HTTP requests that routes forward to services, without homes.
+//! Decides how opaque HTTP requests are forwarded to the services of their routes; these requests
+//! have no home.
 //!
 //! With few nodes, every node sends to every replica itself. Limits that hold for all nodes
 //! together (connections, extra sends) are divided by the number of nodes.
--- a/crates/sassafrasproxy-core/src/forward/rollout/coordinator.rs
+++ b/crates/sassafrasproxy-core/src/forward/rollout/coordinator.rs
@@ -40,12 +40,13 @@
     ///
     /// The rest is reserved for a promoted version that turns out bad before it is completed.
     pub permit_fraction: f64,
-    /// The fraction of `exposure_share` that the canaries may use; the rest is reserved for the
-    /// same case.
+    /// The fraction of `exposure_share` that the canaries may use; the rest is reserved for a
+    /// promoted version that turns out bad.
     pub canary_share_fraction: f64,
     /// The fraction of the period after which a version without evidence against it is promoted.
     ///
-    /// As late as the period allows, because a version may turn bad only after some time.
+    /// The promotion is as late as the period allows, because a version may turn bad only after
+    /// some time.
     pub trial_fraction: f64,
     /// The time over which permits are spread, as a multiple of the usual length of a trial, so
     /// that a trial that lasts longer still has permits.
@@ -71,15 +72,15 @@
         }
     }
 
-    /// Returns how long a trial may last at most, in microseconds from the order.
+    /// Returns the maximum length of a trial, in microseconds from the order.
     ///
     /// A trial lasts that long if there is evidence against the version.
     fn max_trial_us(&self, order: &RolloutOrder) -> u64 {
         (order.period_ms * US_PER_MS).saturating_sub(self.settle_us + WRITE_SLACK_US)
     }
 
-    /// Returns how long a trial lasts if there is no evidence against the version, in microseconds
-    /// from the order.
+    /// Returns the length of a trial without evidence against the version, in microseconds from the
+    /// order.
     fn trial_us(&self, order: &RolloutOrder) -> u64 {
         let period_us = order.period_ms * US_PER_MS;
         let end_us = (period_us as f64 * COMPLETION_FRACTION) as u64;
@@ -88,7 +89,7 @@
     }
 }
 
-/// The state of one service's rollout, as this node knows it.
+/// The state of one service's rollout, as seen by this node.
 #[derive(Debug, Clone, PartialEq)]
 pub struct RolloutState {
     /// The service.
@@ -126,7 +127,7 @@
         /// The revision that the stored record must have; 0 if there must be none.
         expected_revision: u64,
     },
-    /// Tell all nodes immediately to stop using the version on trial.
+    /// Announce to all nodes immediately that they must stop using the version on trial.
     Stop {
         /// The order's revision in the store.
         order_revision: u64,
@@ -187,7 +188,7 @@
     is_unknown_reported: bool,
 }
 
-/// The nodes, as far as the coordinator needs to know them.
+/// The ingress nodes, and this node's rank as coordinator.
 #[derive(Debug, Clone, Default)]
 pub struct RolloutNodes {
     /// The nodes that are alive and that callers are sent to (ingress nodes).
@@ -384,7 +385,7 @@
         }
     }
 
-    /// Whether each canary that is alive has reported within `MAX_REPORT_AGE_US`.
+    /// Returns whether each canary that is alive has reported within `MAX_REPORT_AGE_US`.
     ///
     /// Prevents the promotion of a version while the reports of its failures do not arrive.
     fn has_fresh_reports(&self, now_us: u64, record: &RolloutRecord, nodes: &RolloutNodes) -> bool {
@@ -399,7 +400,7 @@
 }
 
 impl RolloutState {
-    /// Whether the rollout has steps left.
+    /// Returns whether the rollout has steps left.
     pub fn is_running(&self) -> bool {
         match self.running_record() {
             Some(record) => !record.phase.is_final(),
@@ -436,8 +437,8 @@
         }
     }
 
-    /// Whether the target version's replicas have slots, and at least half as many as the base
-    /// version's replicas.
+    /// Returns whether the target version's replicas have slots, and at least half as many as the
+    /// base version's replicas.
     fn has_enough_slots(&self, record: &RolloutRecord) -> bool {
         let target = self.replicas(&record.target_version).slots;
         target > 0 && 2 * target >= self.replicas(&record.base_version).slots
@@ -447,8 +448,8 @@
         self.versions.get(version).copied().unwrap_or_default()
     }
 
-    /// Returns the record for a phase; `None` if there is neither a record nor an order with a
-    /// version in use that it could follow.
+    /// Returns the record to write for a phase; `None` if there is no earlier record, and no order
+    /// or no version in use.
     fn record_for_phase(
         &self,
         phase: RolloutPhase,
--- a/crates/sassafrasproxy-core/src/forward/rollout/order.rs
+++ b/crates/sassafrasproxy-core/src/forward/rollout/order.rs
@@ -33,7 +33,7 @@
 }
 
 impl RolloutPhase {
-    /// Whether no other phase follows.
+    /// Returns whether no other phase follows.
     pub fn is_final(self) -> bool {
         match self {
             Self::Completed | Self::RolledBack => true,
--- a/crates/sassafrasproxy-core/src/forward/rollout/report_throttle.rs
+++ b/crates/sassafrasproxy-core/src/forward/rollout/report_throttle.rs
@@ -22,7 +22,7 @@
     /// Returns the reports that must be sent now, and records them as sent.
     ///
     /// A report is due if it changed or was last sent `UNCHANGED_INTERVAL_US` ago. Trials that are
-    /// not among `reports` are forgotten.
+    /// not among `reports` are removed.
     pub fn take_due(&mut self, now_us: u64, reports: Vec<TrialReport>) -> Vec<TrialReport> {
         self.last_sent
             .retain(|order, _| reports.iter().any(|report| report.order_revision == *order));
--- a/crates/sassafrasproxy-core/src/forward/rollout/trial.rs
+++ b/crates/sassafrasproxy-core/src/forward/rollout/trial.rs
@@ -1,4 +1,4 @@
-//! Tracks what one node sends to a version on trial, and counts the outcomes.
+//! Tracks the requests that one node sends to a version on trial, and counts the outcomes.
 
 use ecow::EcoString;
 use indexmap::IndexMap;
@@ -6,8 +6,8 @@
 use serde::{Deserialize, Serialize};
 use xxhash_rust::xxh3::xxh3_64;
 
-/// An answer counts as slow if it takes more than this multiple of its expected time plus
-/// `SLOW_SLACK_US`.
+/// The multiple of an answer's expected time that it may take, in addition to `SLOW_SLACK_US`,
+/// without counting as slow.
 const SLOW_FACTOR: u64 = 2;
 
 /// The time that an answer may take in addition to the multiple, in microseconds.
@@ -22,7 +22,7 @@
 /// in a datagram.
 const MAX_FINE_COUNTS: usize = 48;
 
-/// The number of classes of replicas from then on.
+/// The number of classes of replicas once there are `MAX_FINE_COUNTS` counts.
 const COARSE_REPLICA_CLASSES: u64 = 8;
 
 /// The number of classes in which the routes to a service are counted.
@@ -117,7 +117,7 @@
         &self.grant
     }
 
-    /// Whether one more request may go to the version on trial now.
+    /// Returns whether one more request may go to the version on trial now.
     pub fn may_send(&self, now_us: u64) -> bool {
         self.trial_sends < self.allowed_sends(now_us)
     }
@@ -176,7 +176,8 @@
         }
     }
 
-    /// Returns how many attempts on the version on trial this node may have made by now.
+    /// Returns the maximum number of attempts on the version on trial that this node may have made
+    /// by now.
     ///
     /// The first permit is available at once, and the others are spread evenly over `spread_us`.
     fn allowed_sends(&self, now_us: u64) -> u64 {
--- a/crates/sassafrasproxy-core/src/forward/rollout/trial_analysis.rs
+++ b/crates/sassafrasproxy-core/src/forward/rollout/trial_analysis.rs
@@ -14,8 +14,8 @@
 /// The score below which a version may be promoted before the time is up.
 const SUSPICIOUS_SCORE: f64 = 2.0;
 
-/// The fraction of the evidence that must come from other replicas than the worst one, if there are
-/// others.
+/// The minimum fraction of the evidence that must come from replicas other than the worst one, if
+/// there are others.
 const MIN_OTHER_REPLICAS_FRACTION: f64 = 0.25;
 
 /// The minimum increase of the failure rate in a bad version.
@@ -30,7 +30,7 @@
 /// The lowest baseline rate of slow answers that the test assumes.
 const MIN_SLOW_RATE: f64 = 0.05;
 
-/// The number of ended attempts whose weight the lowest rates have in the baseline, so that the
+/// The weight of the lowest rates in the baseline, as a number of ended attempts, so that the
 /// baseline is stable while few attempts on the version in use have ended.
 const PRIOR_ATTEMPTS: f64 = 20.0;
 
@@ -117,7 +117,8 @@
         self.ended
     }
 
-    /// Returns the number of these that failed or were slow, according to the latest reports.
+    /// Returns the number of ended attempts on the version on trial that failed or were slow,
+    /// according to the latest reports.
     pub fn bad(&self) -> u64 {
         let counts = self.reports.values().flat_map(|report| &report.counts);
         let on_trial = counts.filter(|count| count.is_on_trial);
@@ -179,8 +180,8 @@
 
     /// Returns the part of the evidence that is attributed to the version.
     ///
-    /// Guards against a single replica that fails, crashes or is slow for reasons of its own: if
-    /// nearly all evidence comes from one of several replicas, it is capped in proportion to the
+    /// Prevents a rollback because a single replica fails, crashes or is slow for its own reasons:
+    /// if nearly all evidence comes from one of several replicas, it is capped in proportion to the
     /// evidence of the others.
     fn version_score(&self, overall: f64, score_of: impl Fn(&CusumScore) -> f64) -> f64 {
         let total: f64 = self.by_replica_class.values().map(&score_of).sum();
@@ -225,7 +226,7 @@
     counts.iter().map(|count| u64::from(count.ended)).sum()
 }
 
-/// Returns by how much a count exceeds that of the same classes in an earlier report.
+/// Returns the increase of a count over that of the same classes in an earlier report.
 fn count_increase(count: &TrialCount, before: &[TrialCount]) -> TrialCount {
     let is_same_class = |one: &&TrialCount| {
         (one.is_on_trial, one.replica_class, one.route_class)
--- a/crates/sassafrasproxy-core/src/forward/rollout/versions.rs
+++ b/crates/sassafrasproxy-core/src/forward/rollout/versions.rs
@@ -17,8 +17,8 @@
 ///
 /// `listed` yields the version and the start time in milliseconds of each replica of the service.
 /// Without a record, only the version of the replica that started first is used, so that a version
-/// that no order names gets no requests. `is_stopped` tells that the rollout was stopped, which may
-/// precede the record.
+/// that no order names gets no requests. `is_stopped` is whether a node announced that the rollout
+/// is stopped, which may precede the record.
 pub fn service_versions<'a>(
     record: Option<&RolloutRecord>,
     is_stopped: bool,
--- a/crates/sassafrasproxy-core/src/forward/routing/part_distribution.rs
+++ b/crates/sassafrasproxy-core/src/forward/routing/part_distribution.rs
@@ -4,10 +4,10 @@
 /// take some of them.
 const MAX_PARTS_PER_CORE: usize = 128;
 
-/// Returns how many parts of a query each participating node requests.
+/// Returns the number of parts of a query that each participating node requests.
 ///
-/// Up to `nodes` nodes with `cpu_millis` thousandths of a core each take part; the first entry is
-/// for the node that takes part in any case.
+/// Up to `nodes` nodes with `cpu_millis` thousandths of a core each take part; there is always at
+/// least one entry, even if `nodes` is 0.
 ///
 /// A query over very many shards needs this: one node would take longer to send all sub-requests
 /// than a replica takes to answer. Few parts stay on one node, because each further node costs a
--- a/crates/sassafrasproxy-core/src/forward/routing/pause_estimator.rs
+++ b/crates/sassafrasproxy-core/src/forward/routing/pause_estimator.rs
@@ -6,7 +6,7 @@
 const DEFAULT_PAUSE_US: u64 = 100_000;
 
 /// The lateness from which an answer counts as delayed by a pause, in microseconds; a smaller
-/// lateness counts as a long run.
+/// lateness is attributed to a long run time.
 const MIN_LATENESS_US: u64 = 10_000;
 
 /// The length of the longest pause, in typical pauses; a longer stall does not count as a pause.
@@ -30,7 +30,7 @@
     }
 
     /// Returns the probable time until a stalled replica answers, in microseconds: half of a
-    /// typical pause, or as long again as the stall has lasted.
+    /// typical pause or the time that the stall has lasted, whichever is longer.
     pub fn remaining_us(&self, stalled_us: u64) -> u64 {
         (self.typical_pause_us() / 2).max(stalled_us)
     }
@@ -38,7 +38,8 @@
     /// Returns whether a replica has been stalled for longer than pauses last.
     ///
     /// Prevents queries from waiting for a replica that no longer answers. Otherwise each of them
-    /// waits until its deadline, long after its latency goal, before the replica counts as lost.
+    /// would wait until its deadline, long after its latency goal, before the replica counted as
+    /// lost.
     pub fn exceeds_pause(&self, stalled_us: u64) -> bool {
         stalled_us > self.max_pause_us()
     }
--- a/crates/sassafrasproxy-core/src/forward/routing/pool/mod.rs
+++ b/crates/sassafrasproxy-core/src/forward/routing/pool/mod.rs
@@ -1,4 +1,4 @@
-//! Picks a replica of a service by what this node has observed of each.
+//! Picks a replica of a service by the state that this node has observed of each.
 
 mod replica;
 
@@ -28,7 +28,7 @@
     pub warmup_slack: f64,
 }
 
-/// How a send ended.
+/// The outcome of a send.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum SendOutcome {
     /// The replica answered without a server error.
@@ -52,11 +52,12 @@
 /// The state of the replica that a service's next request would be sent to.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct ServiceForecast {
-    /// What this node may send to the replica, if it has been slow for longer than a pause.
+    /// The forecast for sends to the replica if it has been slow for longer than a pause; `None`
+    /// otherwise.
     pub slow: Option<SlowForecast>,
 }
 
-/// The replicas that this node may send to, and what it has observed of each.
+/// The replicas that this node may send to, and the observed state of each.
 #[derive(Debug)]
 pub struct UpstreamPool {
     settings: PoolSettings,
@@ -235,16 +236,16 @@
         if !trial.may_send(now_us) {
             return None;
         }
-        let is_next = |id: &&EcoString| {
+        let is_candidate = |id: &&EcoString| {
             let state = &self.replicas[*id];
             state.is_on_trial && state.can_take_request(now_us, &self.pause_estimator)
         };
         // Round robin, so that one faulty replica does not decide the verdict on its version. All
         // canaries reach the same replica at about the same time, which shows how it handles load.
-        let mut next: Vec<&EcoString> = ids.iter().filter(is_next).collect();
-        next.sort_unstable();
-        let turn = trial.trial_sends() as usize % next.len().max(1);
-        next.get(turn).map(|id| (*id).clone())
+        let mut candidates: Vec<&EcoString> = ids.iter().filter(is_candidate).collect();
+        candidates.sort_unstable();
+        let turn = trial.trial_sends() as usize % candidates.len().max(1);
+        candidates.get(turn).map(|id| (*id).clone())
     }
 
     /// Returns the state of the replica that would be picked, or `None` if none can be asked.
@@ -274,7 +275,8 @@
         }
     }
 
-    /// Records a send to a replica, which counts as stalled `stall_after_us` from now.
+    /// Records a send to a replica; it counts as stalled if it is still in flight after
+    /// `stall_after_us`.
     ///
     /// Returns `None` if the replica is not known.
     pub fn start_send(
--- a/crates/sassafrasproxy-core/src/forward/routing/pool/replica.rs
+++ b/crates/sassafrasproxy-core/src/forward/routing/pool/replica.rs
@@ -10,9 +10,9 @@
 use super::{PoolSettings, SendId, SendOutcome};
 use crate::{RouteClass, TrialOutcome};
 
-/// The cost of a send to another failure domain in addition to its time, which the slowness covers,
-/// in multiples of the usual time. A replica in this node's failure domain is passed over only for
-/// one that is clearly faster.
+/// The additional cost of a send to another failure domain, in multiples of the usual time; the
+/// longer time until its answer is already part of the slowness. A replica in this node's failure
+/// domain is passed over only for one that is clearly faster.
 const CROSS_DOMAIN_COST_FACTOR: f64 = 1.5;
 
 /// The cost of a replica that failed all its recent requests, in multiples of the usual time. A
@@ -40,7 +40,7 @@
 /// within this time.
 const MAX_BACKOFF_US: u64 = 1_600_000;
 
-/// What this node has observed of one replica.
+/// The state of one replica as observed by this node, and this node's limits for it.
 #[derive(Debug)]
 pub struct ReplicaState {
     pub entry: Arc<ReplicaEntry>,
@@ -55,7 +55,7 @@
     pub in_flight: Vec<InFlightSend>,
     pub slowness: DecayingMean,
     pub error_rate: DecayingMean,
-    /// Consecutive sends that timed out or did not reach the replica.
+    /// The number of consecutive sends that timed out or did not reach the replica.
     pub consecutive_failures: u32,
     pub backoff_until_us: u64,
     /// When anything last arrived from the replica.
@@ -78,7 +78,7 @@
     pub id: SendId,
     pub sent_us: u64,
     pub expected_us: u64,
-    /// When the send counts as stalled.
+    /// The time from which the send counts as stalled, in microseconds.
     pub due_us: u64,
     /// The class of the send's route, if the send counts in the trial of a version.
     pub trial_class: Option<RouteClass>,
@@ -152,8 +152,8 @@
         first.map_or(1, |end_us| end_us.saturating_sub(now_us).max(1)).max(backoff_us)
     }
 
-    /// Returns whether this node may send one more request now as far as the replica's cold start
-    /// is concerned.
+    /// Returns whether the replica is not cold, or its rate limit lets this node send one more
+    /// request now.
     pub fn has_cold_token(&self, now_us: u64) -> bool {
         self.cold_until_us <= now_us
             || self.cold_rate_per_s.is_none()
@@ -210,7 +210,7 @@
     /// Returns the outcome of a send for the trial of the replica's version.
     ///
     /// An answer of a cold replica counts as fast, because a cold replica is slow whatever its
-    /// version. An unreachable replica is taken for crashed, so the send does not count.
+    /// version. An unreachable replica is assumed to have crashed, so the send does not count.
     pub fn trial_outcome(
         &self,
         now_us: u64,
--- a/crates/sassafrasproxy-core/src/forward/routing/preconnect.rs
+++ b/crates/sassafrasproxy-core/src/forward/routing/preconnect.rs
@@ -14,7 +14,7 @@
 
 /// Tracks the preconnect attempts to each replica.
 ///
-/// Prevents a storm of connection attempts after all nodes were lost at once. Nodes then learn of
+/// Prevents a storm of connection attempts after all nodes were lost at once. Nodes then discover
 /// members and replicas in hundreds of steps, and replicas that still hold the dead nodes'
 /// connections reset new ones above their connection limit. If each step retried every missing
 /// connection, the replicas would stay at their limits.
@@ -33,7 +33,7 @@
     attempts: u32,
 }
 
-/// What to do after a failed attempt.
+/// The next step after a failed attempt.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum PreconnectStep {
     /// Retry after a backoff.
--- a/crates/sassafrasproxy-core/src/forward/routing/shard_selection.rs
+++ b/crates/sassafrasproxy-core/src/forward/routing/shard_selection.rs
@@ -40,11 +40,12 @@
     // The replica with the most tokens comes first, so that a node's queries take turns at the slow
     // replicas.
     slow.sort_by(|(_, a), (_, b)| b.tokens.total_cmp(&a.tokens));
-    let can_skip = |slow: &SlowForecast| {
+    let can_exclude = |slow: &SlowForecast| {
         slow.tokens < MIN_SPARE_TOKENS && (needed_slow > 0 || slow.is_reserved)
     };
     let not_needed = slow.iter().skip(needed_slow);
-    let skipped = not_needed.filter(|(_, slow)| can_skip(slow)).map(|(shard, _)| *shard).collect();
+    let skipped =
+        not_needed.filter(|(_, slow)| can_exclude(slow)).map(|(shard, _)| *shard).collect();
     let last_needed = needed_slow.checked_sub(1).and_then(|last| slow.get(last));
     let can_be_in_time = last_needed.is_some_and(|(_, slow)| slow.tokens >= MIN_NEEDED_TOKENS);
     let reserved = match can_be_in_time {
--- a/crates/sassafrasproxy-core/src/forward/routing/slot_budget.rs
+++ b/crates/sassafrasproxy-core/src/forward/routing/slot_budget.rs
@@ -5,8 +5,8 @@
 /// The ratio of an answer's time to the usual time from which the answer counts as slow.
 const SLOW_RATIO: f64 = 2.0;
 
-/// The mean slowness from which a replica counts as slow; it takes two answers in a row that a
-/// pause delayed.
+/// The mean slowness from which a replica counts as slow; one answer that a pause delayed does not
+/// raise the mean that far, but two in a row can.
 const MIN_MEAN_SLOWNESS: f64 = 3.0;
 
 /// The weight of one answer in the uncapped mean slowness.
@@ -22,11 +22,11 @@
 /// needs the replica and one more.
 const MAX_TOKENS: f64 = 2.0;
 
-/// The maximum number of sends beyond its share that count against a node; a limit lets it send
-/// again soon afterwards.
+/// The maximum number of sends beyond its share that count against a node, so that the node can
+/// send again soon after them.
 const MAX_TOKEN_DEBT: f64 = 4.0;
 
-/// What a node may send to a slow replica.
+/// The forecast for a node's sends to a slow replica.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct SlowForecast {
     /// The number of sends that this node may make now by its share of the replica's slots;
@@ -94,8 +94,8 @@
         self.reserved_until_us = now_us + RESERVATION_US;
     }
 
-    /// Returns what this node may send if the replica has been slow for longer than a pause, or
-    /// `None` otherwise.
+    /// Returns the forecast for this node's sends if the replica has been slow for longer than a
+    /// pause, or `None` otherwise.
     ///
     /// `slowness` is the mean ratio of answer times to the usual time; `max_pause_us` is the time
     /// within which a pause ends.
--- a/crates/sassafrasproxy-core/src/forward/sending/fetch.rs
+++ b/crates/sassafrasproxy-core/src/forward/sending/fetch.rs
@@ -129,7 +129,7 @@
         self.tried.last().map_or("", EcoString::as_str)
     }
 
-    /// Whether a replica may have run the request or may be running it.
+    /// Returns whether a replica may have run the request or may be running it.
     pub fn may_have_run(&self) -> bool {
         self.may_have_run || self.in_flight > 0
     }
--- a/crates/sassafrasproxy-core/src/forward/sending/gather.rs
+++ b/crates/sassafrasproxy-core/src/forward/sending/gather.rs
@@ -27,15 +27,15 @@
 /// same time are read before the answer is sent.
 const PART_RESERVE_US: u64 = 50;
 
-/// The additional reserve is the latency goal divided by this.
+/// The divisor of the latency goal that gives an additional reserve.
 ///
 /// A late answer helps its caller little, and an answer without the last part helps nearly as much
 /// as a complete one. So the gather does not wait until the last moment at which the answer may
 /// still arrive in time.
 const GOAL_SLACK_DIVISOR: u64 = 25;
 
-/// The additional reserve is the caller round trip divided by this, because some answers take
-/// longer on their way.
+/// The divisor of the caller round trip that gives an additional reserve, because some answers take
+/// longer to reach their caller.
 const ROUND_TRIP_SLACK_DIVISOR: u64 = 8;
 
 impl GatherPlan {
@@ -94,8 +94,8 @@
 /// Returns the time until `min_parts` shards are usable, in microseconds; `None` if too few shards
 /// will become usable.
 ///
-/// `usable_in_us` holds the time until each shard has a replica that may get work. Guards against
-/// starting queries that cannot succeed: with three of twenty shards unavailable and eighteen
+/// `usable_in_us` holds the time until each shard has a usable replica. Prevents queries that
+/// cannot succeed from being started: with three of twenty shards unavailable and eighteen
 /// required, seventeen replicas would work for an answer that is never sent.
 pub fn min_parts_usable_in_us(usable_in_us: &[Option<u64>], min_parts: usize) -> Option<u64> {
     let mut times_us: Vec<u64> = usable_in_us.iter().copied().flatten().collect();
--- a/crates/sassafrasproxy-core/src/forward/sending/mod.rs
+++ b/crates/sassafrasproxy-core/src/forward/sending/mod.rs
@@ -1,9 +1,9 @@
 //! Decides when to make an attempt, hedge, retry, stop waiting and answer.
 //!
 //! `Fetch` takes a request to one service from its first attempt to its answer. It hedges after the
-//! delay that `RouteLatencies` learned, and retries; both spend the `RetryBudget`, which limits the
-//! extra attempts of all nodes together. A query over shards has one fetch for each shard; its
-//! `GatherPlan` says when to answer with the parts that have arrived.
+//! delay that `RouteLatencies` computes, and retries; both spend the `RetryBudget`, which limits
+//! the extra attempts of all nodes together. A query over shards has one fetch for each shard; its
+//! `GatherPlan` determines when to answer with the parts that have arrived.
 
 mod fetch;
 mod gather;
--- a/crates/sassafrasproxy-core/src/forward/sending/retry_budget.rs
+++ b/crates/sassafrasproxy-core/src/forward/sending/retry_budget.rs
@@ -23,13 +23,13 @@
 /// before: the whole budget, but no more.
 const INITIAL_SHARE_FRACTION: f64 = 0.25;
 
-/// One part in this many of the fixed budget is for the nodes that are not ingress nodes.
+/// The divisor of the fixed budget that gives the part of all nodes that are not ingress nodes.
 const NON_INGRESS_SHARE_DIVISOR: usize = 8;
 
 /// Returns the number of equal shares into which the fixed budget is divided for a node.
 ///
-/// Callers are sent to `ingress_nodes` of `nodes` nodes; `is_ingress` tells whether the node is one
-/// of these. The ingress nodes get all but an eighth of the budget. Where few of many nodes serve
+/// Callers are sent to `ingress_nodes` of `nodes` nodes; `is_ingress` is whether the node is one of
+/// these. The ingress nodes get all but an eighth of the budget. Where few of many nodes serve
 /// nearly all queries, equal shares would leave these nodes without retries while the shares of the
 /// others stay unspent.
 pub fn budget_shares(nodes: usize, ingress_nodes: usize, is_ingress: bool) -> usize {
--- a/crates/sassafrasproxy-core/src/forward/sending/route_latencies.rs
+++ b/crates/sassafrasproxy-core/src/forward/sending/route_latencies.rs
@@ -26,8 +26,8 @@
 /// may use half of the goal before the hedge.
 const MAX_SINGLE_HEDGE_FRACTION: f64 = 0.5;
 
-/// The latency goal divided by this is the expected latency until enough latencies are measured;
-/// the quantile for the hedge delay is taken as twice that.
+/// The divisor of the latency goal that gives the expected latency until enough latencies are
+/// measured; the quantile for the hedge delay is then assumed to be twice the expected latency.
 const DEFAULT_LATENCY_DIVISOR: u64 = 8;
 
 /// The replicas that a request of a route is sent to.
@@ -62,9 +62,9 @@
 
     /// Returns the expected time and the hedge delay for a route with the given latency goal.
     pub fn send_timing(&self, goal_us: u64, fanout: Fanout) -> SendTiming {
-        let unmeasured_us = goal_us / DEFAULT_LATENCY_DIVISOR;
-        let expected_us = self.latencies.quantile_us(0.5).unwrap_or(unmeasured_us);
-        let quantile_us = self.latencies.quantile_us(HEDGE_QUANTILE).unwrap_or(2 * unmeasured_us);
+        let default_us = goal_us / DEFAULT_LATENCY_DIVISOR;
+        let expected_us = self.latencies.quantile_us(0.5).unwrap_or(default_us);
+        let quantile_us = self.latencies.quantile_us(HEDGE_QUANTILE).unwrap_or(2 * default_us);
         let max_fraction = match fanout {
             Fanout::Single => MAX_SINGLE_HEDGE_FRACTION,
             Fanout::Shards => MAX_SHARDS_HEDGE_FRACTION,
--- a/crates/sassafrasproxy-core/tests/caller_delays.rs
+++ b/crates/sassafrasproxy-core/tests/caller_delays.rs
@@ -102,21 +102,22 @@
     assert_eq!(estimator.record_request(&route, on_reused_connection(500)), 0);
 }
 
-/// Callers need 7 ms to connect. One setup in 130 is shorter, for reasons of the caller. If the
-/// shortest setup counted as the round trip, the soft deadline of gathers would be 5 ms too late,
-/// and every answer that waits until it would reach its caller late, with a tenth of its score.
+/// Callers need 7 ms to connect. One setup in 130 appears shorter because of the caller's own
+/// timing. If the shortest setup counted as the round trip, the soft deadline of gathers would be
+/// 5 ms too late, and every answer that waits until it would reach its caller late, with a tenth of
+/// its score.
 #[test]
 fn short_setup_outliers() {
     let mut estimator = CallerDelayEstimator::default();
     let route = "r".into();
     for at in 0..2_600 {
-        let time = match at % 130 {
+        let deadline = match at % 130 {
             0 => on_new_connection(300 - (2 + at / 130 % 4)),
             at if at % 20 == 1 => on_new_connection(293),
             at if at % 3 == 0 => on_new_connection(285),
             _ => on_reused_connection(300),
         };
-        estimator.record_request(&route, time);
+        estimator.record_request(&route, deadline);
         if at >= 130 {
             assert!((6_000..=7_000).contains(&estimator.round_trip_us()), "request {at}");
         }
@@ -124,8 +125,8 @@
 }
 
 /// A node has just started, and most callers first ask the directory and connect. The deadlines are
-/// those of a node's first four seconds. Callers whose timeout started 15 ms ago must not count as
-/// if it started on arrival, or they receive their answers late.
+/// those of a node's first four seconds. Callers whose timeout started 15 ms ago must not be
+/// treated as if it had started on arrival, or they receive their answers late.
 #[test]
 fn after_node_start() {
     let mut estimator = CallerDelayEstimator::default();
@@ -133,12 +134,12 @@
     let deadlines =
         [278, 277, 279, 278, 279, 285, 285, 278, 300, 278, 278, 279, 286, 286, 278, 283, 300];
     for deadline_ms in deadlines {
-        let time = if deadline_ms == 300 {
+        let deadline = if deadline_ms == 300 {
             on_reused_connection(300)
         } else {
             on_new_connection(deadline_ms)
         };
-        let elapsed_us = estimator.record_request(&route, time);
+        let elapsed_us = estimator.record_request(&route, deadline);
         assert_eq!(elapsed_us, (300 - deadline_ms) * 1_000);
         let round_trip_us = estimator.round_trip_us();
         assert!((6_000..=7_000).contains(&round_trip_us), "{deadline_ms}: {round_trip_us}");
@@ -166,16 +167,16 @@
     for round_trip_ms in [2, 6, 10, 24, 80] {
         let mut estimator = CallerDelayEstimator::default();
         let route = "r".into();
-        let time =
+        let deadline =
             |elapsed_ms| CallerDeadline { timeout_ms: 900, ..on_new_connection(900 - elapsed_ms) };
         for _ in 0..3 {
-            estimator.record_request(&route, time(3 * round_trip_ms + 2));
+            estimator.record_request(&route, deadline(3 * round_trip_ms + 2));
         }
         let early_us = estimator.round_trip_us();
         assert!(early_us >= round_trip_ms * 1_000, "{round_trip_ms}: {early_us}");
         assert!(early_us <= round_trip_ms * 1_000 + 4_000, "{round_trip_ms}: {early_us}");
         for _ in 0..3 {
-            estimator.record_request(&route, time(round_trip_ms));
+            estimator.record_request(&route, deadline(round_trip_ms));
         }
         assert_eq!(estimator.round_trip_us(), round_trip_ms * 1_000, "{round_trip_ms}");
     }
--- a/crates/sassafrasproxy-core/tests/preconnect.rs
+++ b/crates/sassafrasproxy-core/tests/preconnect.rs
@@ -3,7 +3,7 @@
 use sassafrasproxy_core::{PreconnectStep, Preconnector};
 
 // All nodes lose power and restart. Replicas still hold the dead nodes' connections and reset new
-// ones above their limit, while each node learns of members and replicas in hundreds of steps. If
+// ones above their limit, while each node discovers members and replicas in hundreds of steps. If
 // each step retried all connections, the resets would also hit the connections of requests, and
 // answers would lack shards for seconds.
 #[test]
--- a/crates/sassafrasproxy-core/tests/rollout_model/mod.rs
+++ b/crates/sassafrasproxy-core/tests/rollout_model/mod.rs
@@ -25,7 +25,8 @@
 /// The interval at which nodes send reports and coordinators run, in microseconds.
 const REPORT_INTERVAL_US: u64 = 250_000;
 
-/// The time that the fleet runs before the simulation starts, so that the nodes know each other.
+/// The time that the fleet runs before the simulation starts, in microseconds, so that the nodes
+/// have discovered each other.
 const WARM_UP_US: u64 = 5 * SECOND_US;
 
 /// The time that the simulation continues after the period, in microseconds.
--- a/crates/sassafrasproxy-core/tests/rollouts.rs
+++ b/crates/sassafrasproxy-core/tests/rollouts.rs
@@ -247,7 +247,7 @@
 }
 
 /// Guards against requests to a bad version after a peer announced the stop and before the store's
-/// record says so. A record with a final phase takes precedence over the stop.
+/// record shows it. A record with a final phase takes precedence over the stop.
 #[test]
 fn stopped_by_peer() {
     let (old, new) = ("v1".into(), "v2".into());
--- a/crates/sassafrasproxy-core/tests/shards/mod.rs
+++ b/crates/sassafrasproxy-core/tests/shards/mod.rs
@@ -90,7 +90,7 @@
 /// The divisor of a caller's round trip that gives the mean additional delay of its answers.
 const ROUND_TRIP_JITTER_DIVISOR: f64 = 8.0;
 
-/// The time before the measurement, in microseconds, in which the nodes learn latencies.
+/// The time before the measurement, in microseconds, in which the nodes measure latencies.
 const WARM_UP_US: u64 = 2_000_000;
 
 /// Simulates a workload and returns the results of each query kind after the first two seconds.
@@ -208,10 +208,10 @@
     fn start_query(&mut self, kind: usize) {
         let node = self.rng.random_range(0..self.nodes.len());
         let spec = self.workload.query_kinds[kind].clone();
-        let times = self.nodes[node].times[kind].send_timing(spec.goal_us, Fanout::Shards);
+        let timing = self.nodes[node].times[kind].send_timing(spec.goal_us, Fanout::Shards);
         let fetch_plan = FetchPlan {
-            expected_us: times.expected_us,
-            hedge_after_us: times.hedge_after_us,
+            expected_us: timing.expected_us,
+            hedge_after_us: timing.hedge_after_us,
             max_attempts: 2,
             is_idempotent: true,
             budget_shares: self.workload.nodes,
@@ -430,8 +430,8 @@
                 let is_within_goal = match self.workload.caller_round_trip_us {
                     0 => self.now_us <= query.plan.soft_deadline_us + 1_000,
                     round_trip_us => {
-                        // Half of the round trip elapsed before the query arrived, and the way of
-                        // the answer takes longer at times.
+                        // Half of the round trip elapsed before the query arrived, and the answer
+                        // sometimes takes longer to reach the caller.
                         let extra_fraction: f64 =
                             Exp::new(ROUND_TRIP_JITTER_DIVISOR).unwrap().sample(&mut self.rng);
                         let round_trip_us = (round_trip_us as f64 * (1.0 + extra_fraction)) as u64;
--- a/crates/sassafrasproxy-core/tests/shards/workload.rs
+++ b/crates/sassafrasproxy-core/tests/shards/workload.rs
@@ -49,7 +49,7 @@
 /// A fault of a replica.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum Fault {
-    /// Its requests take this many times as long.
+    /// Requests take this many times as long.
     Slow(f64),
     /// It refuses connections.
     Down,
