--- a/crates/sassafrasproxy-core/src/forward/rollout/coordinator.rs
+++ b/crates/sassafrasproxy-core/src/forward/rollout/coordinator.rs
@@ -161,7 +161,7 @@
     },
 }
 
-/// Takes the steps of all rollouts.
+/// Decides on the steps of all rollouts.
 ///
 /// Every node has one, but normally only that of a single node acts. If two act at the same time,
 /// they cannot contradict each other: each step is a conditional write that succeeds only if the
@@ -195,8 +195,8 @@
     pub ingress_nodes: Vec<EcoString>,
     /// This node's rank among the few nodes that may act as coordinator; `None` if it may not.
     ///
-    /// The first one takes each step; the others take only the steps that those ranked before them
-    /// have not taken.
+    /// The node with rank 0 takes each step; the others take only the steps that the nodes ranked
+    /// before them have not taken.
     pub rank: Option<usize>,
 }
 
--- a/crates/sassafrasproxy-core/src/forward/routing/mod.rs
+++ b/crates/sassafrasproxy-core/src/forward/routing/mod.rs
@@ -2,8 +2,8 @@
 //!
 //! Host and path determine the route, and a route with weighted services selects one of them in
 //! turn. A query over shards excludes shards that other queries need more (`select_shards`).
-//! `UpstreamPool` then picks the replica that will probably answer first, by what this node has
-//! observed of each: failure domain, load, slowness, pauses and errors.
+//! `UpstreamPool` then picks the replica that will probably answer first, by its failure domain and
+//! the load, slowness, pauses and errors that this node has observed.
 
 mod decaying_mean;
 mod part_distribution;
--- a/crates/sassafrasproxy-core/src/forward/sending/fetch.rs
+++ b/crates/sassafrasproxy-core/src/forward/sending/fetch.rs
@@ -148,9 +148,9 @@
         if !plan.is_idempotent || self.is_hedging_over || self.attempts >= plan.max_attempts {
             return FetchStep::Wait { until_us: None };
         }
-        let hedge_us = self.last_sent_us + plan.hedge_after_us;
-        if now_us < hedge_us {
-            return FetchStep::Wait { until_us: Some(hedge_us) };
+        let hedge_at_us = self.last_sent_us + plan.hedge_after_us;
+        if now_us < hedge_at_us {
+            return FetchStep::Wait { until_us: Some(hedge_at_us) };
         }
         self.is_hedging_over = true;
         let Some(replica) = pool.pick(&self.service, now_us, plan.expected_us, &self.tried) else {
--- a/crates/sassafrasproxy-core/tests/rollout_model/mod.rs
+++ b/crates/sassafrasproxy-core/tests/rollout_model/mod.rs
@@ -264,7 +264,7 @@
         }
     }
 
-    /// Lists the store on behalf of a node, as the node does when it starts.
+    /// Delivers the content of the store to a node, as when the node starts.
     fn start(&mut self, at: usize) {
         let revision = self.revision;
         let configuration = RouteConfiguration {
