--- a/crates/sassafrasproxy-core/src/claims/log.rs
+++ b/crates/sassafrasproxy-core/src/claims/log.rs
@@ -47,7 +47,7 @@
     /// Applies the next segment.
     ///
     /// The first claim of a key holds it until the ending `NotRun` is recorded for that claim. A
-    /// claim after the seal has no effect.
+    /// claim after the seal has no effect, and a segment that cannot be parsed is skipped.
     pub fn apply_segment(&mut self, text: &str) {
         self.next_segment += 1;
         let Some(segment) = parse_segment(text) else { return };
@@ -96,6 +96,7 @@
     eco_format!("claims/{epoch}/{bucket:02}/")
 }
 
+/// Parses a segment; returns `None` if the text is not a valid one.
 pub fn parse_segment(text: &str) -> Option<ClaimSegment> {
     serde_json::from_str(text).ok()
 }
--- a/crates/sassafrasproxy-core/src/claims/message.rs
+++ b/crates/sassafrasproxy-core/src/claims/message.rs
@@ -14,7 +14,7 @@
     pub write_burst: u64,
     /// The maximum time that an ending waits to share a write with a claim.
     pub ending_delay_us: u64,
-    /// How long the bucket makes no store calls after failed ones.
+    /// The time without store calls after a failed read or repeated failed writes.
     pub retry_delay_us: u64,
 }
 
@@ -30,7 +30,7 @@
     }
 }
 
-/// Identifies a claim that waits for its answer; the caller of the reducer assigns it.
+/// Identifies a claim that waits for its answer; assigned by the code that runs the bucket.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub struct ClaimId(pub u64);
 
--- a/crates/sassafrasproxy-core/src/claims/mod.rs
+++ b/crates/sassafrasproxy-core/src/claims/mod.rs
@@ -63,7 +63,7 @@
     call_in_flight: Option<StoreCall>,
     next_batch_number: u64,
     next_write_us: u64,
-    /// When the oldest ending since the last write was queued.
+    /// The time at which the oldest ending since the last write was queued.
     oldest_ending_us: Option<u64>,
     /// The time before which no store call is made.
     retry_at_us: u64,
@@ -284,7 +284,7 @@
                 self.apply_stored_segment(&text);
             }
             // This segment exists, written by another node or by an earlier attempt whose answer
-            // was lost. Reading it tells which.
+            // was lost. Reading it shows which.
             (StoreCall::Write { key, .. }, StoreResult::Conflict) => {
                 let call = StoreCall::Read { key };
                 self.call_in_flight = Some(call.clone());
@@ -296,6 +296,7 @@
                     batch.is_unconfirmed = false;
                 }
             }
+            // A result that does not fit the call is handled like a failed read.
             (_, _) => self.handle_failure(now_us, &StoreCall::List { prefix: EcoString::new() }),
         }
     }
@@ -321,7 +322,8 @@
 
     /// Answers the claims of a batch that is now in the log.
     ///
-    /// A claim that was already answered with "unavailable" runs nowhere, so its key is freed.
+    /// The request of a claim that was already answered with "unavailable" is not run, so its key
+    /// is freed.
     fn answer_batch(&mut self) {
         let Some(batch) = self.batch.take() else { return };
         for (record, claim_id) in batch.segment.records.into_iter().zip(batch.claim_ids) {
--- a/crates/sassafrasproxy-core/src/control/holdings.rs
+++ b/crates/sassafrasproxy-core/src/control/holdings.rs
@@ -10,8 +10,8 @@
 ///
 /// If several nodes published holdings for a group, those of its home in this node's view are
 /// effective; the latest ones are effective only if that home published none. This guards against
-/// a node that was the home only for a short time, before it knew any other member: its holdings
-/// are later than those of the true home and would otherwise hide them permanently.
+/// a node that was the home only for a short time, before its table had any other member: its
+/// holdings are later than those of the true home and would otherwise hide them permanently.
 #[derive(Debug, Default)]
 pub struct HoldingsTable {
     published_by_node: IndexMap<EcoString, IndexMap<EcoString, GroupHoldings>>,
--- a/crates/sassafrasproxy-core/src/control/members.rs
+++ b/crates/sassafrasproxy-core/src/control/members.rs
@@ -45,9 +45,9 @@
     pub revision: u64,
     /// The version of the member's holdings that this node has.
     pub holdings_version: u64,
-    /// When this node last heard from it directly; 0 if never.
+    /// The time at which this node last received a heartbeat from it; 0 if never.
     pub last_heartbeat_us: u64,
-    /// When this node last recorded a new state or incarnation of the member.
+    /// The time at which this node last recorded a new state or incarnation of the member.
     pub state_since_us: u64,
 }
 
@@ -95,7 +95,7 @@
     }
 }
 
-/// All members that this node knows, including itself.
+/// All members known to this node, including itself.
 #[derive(Debug, Clone)]
 pub struct MemberTable {
     local_node: EcoString,
@@ -143,7 +143,7 @@
 pub struct MemberChange {
     /// The member.
     pub node: EcoString,
-    /// Its new state.
+    /// The new state.
     pub state: MemberState,
 }
 
@@ -352,7 +352,7 @@
 
     /// Returns the members that changed since the last call, and clears their queued updates.
     ///
-    /// Serves callers that spread updates by a protocol of their own.
+    /// Used by code that spreads updates by its own protocol.
     pub fn take_changed_nodes(&mut self) -> Vec<EcoString> {
         self.pending_updates.drain(..).map(|(node, _)| node).collect()
     }
--- a/crates/sassafrasproxy-core/src/control/message.rs
+++ b/crates/sassafrasproxy-core/src/control/message.rs
@@ -10,9 +10,9 @@
 pub struct ControlPolicy {
     /// The time between two ticks; each probes one member.
     pub heartbeat_interval_us: u64,
-    /// How long a suspected member has to refute the suspicion.
+    /// The time within which a suspected member can refute the suspicion.
     pub suspicion_timeout_us: u64,
-    /// How long a dead member is kept in the table, so that old updates do not revive it.
+    /// The time for which a dead member is kept in the table, so that old updates do not revive it.
     pub dead_retention_us: u64,
     /// The number of members asked to probe on this node's behalf before it suspects a member.
     pub indirect_probe_count: usize,
@@ -22,13 +22,15 @@
     /// The maximum number of queued member updates in a heartbeat, and of further updates for a
     /// peer whose member hash differs.
     pub updates_per_heartbeat: usize,
-    /// How long a node's member hash may differ from its peers' before it asks for more updates.
+    /// The time for which a node's member hash may differ from its peers' before the node asks for
+    /// more updates.
     pub hash_mismatch_timeout_us: u64,
     /// The number of further updates for a node that was not known before or that asks for more.
     pub updates_for_new_member: usize,
     /// The number of nodes in each failure domain that watch the store.
     pub watchers_per_domain: usize,
-    /// How long a node without a configuration waits for its peers before it reads the store.
+    /// The time for which a node without a configuration waits for its peers before it reads the
+    /// store.
     pub store_fallback_us: u64,
     /// The minimum time between two reads of the VM list by this node.
     pub vm_list_interval_us: u64,
@@ -59,7 +61,7 @@
 }
 
 impl ControlPolicy {
-    /// Returns how long the views of two nodes may differ on which members are alive.
+    /// Returns the maximum time for which the views of two nodes differ on which members are alive.
     ///
     /// Other nodes probe a member that stops answering within a few ticks, suspect it, and mark it
     /// as dead after the suspicion timeout. The update takes a few more ticks to spread.
@@ -79,7 +81,7 @@
     ProbeFailed {
         /// The peer address that was probed.
         peer_address: EcoString,
-        /// When the probe was sent.
+        /// The time at which the probe was sent.
         sent_us: u64,
         /// Whether other members probed on this node's behalf.
         is_indirect: bool,
@@ -98,7 +100,7 @@
         /// The reason why it is invalid.
         detail: EcoString,
     },
-    /// A scheduler of this node published what its replica group serves.
+    /// A scheduler of this node published the holdings of its replica group.
     LocalHoldings(GroupHoldings),
     /// A peer's holdings were received.
     HoldingsReceived(NodeHoldings),
@@ -118,7 +120,7 @@
         /// The address.
         peer_address: EcoString,
     },
-    /// Ask members to probe another one, and report an answer or that none got one.
+    /// Ask members to probe another one, and report the answer, or a failure if none got one.
     ProbeIndirectly {
         /// The peer addresses of the members to ask.
         via_peer_addresses: Vec<EcoString>,
--- a/crates/sassafrasproxy-core/src/control/mod.rs
+++ b/crates/sassafrasproxy-core/src/control/mod.rs
@@ -136,8 +136,8 @@
                 self.policy.updates_for_new_member
             }
             Some(theirs) if theirs.members_hash == self.members.members_hash() => 0,
-            // A single change needs few updates. A node that stays behind, as in a start of many
-            // nodes at once, needs many.
+            // A single change needs few updates. A node whose hash differs for long, as when many
+            // nodes start at once, needs many.
             Some(theirs) if theirs.wants_news => self.policy.updates_for_new_member,
             Some(_) => self.policy.updates_per_heartbeat,
             None => 0,
@@ -349,7 +349,7 @@
         self.rejected_revision = Some((revision, detail));
     }
 
-    /// Publishes what a scheduler of this node serves, if this node is the group's home and the
+    /// Publishes the holdings of a replica group, if this node is the group's home and the
     /// snapshots changed.
     fn publish_holdings(&mut self, holdings: GroupHoldings) {
         if self.homes.home(&holdings.group) != Some(&self.members.local_member().node) {
@@ -423,7 +423,7 @@
         }
     }
 
-    /// Marks this node as leaving and tells all peers at once.
+    /// Marks this node as leaving and sends a heartbeat to all peers at once.
     fn shut_down(&mut self, now_us: u64) {
         if self.members.local_member().state == MemberState::Leaving {
             return;
--- a/crates/sassafrasproxy-core/src/homes.rs
+++ b/crates/sassafrasproxy-core/src/homes.rs
@@ -177,8 +177,9 @@
     let mut best: Vec<(HomeRank, &Member)> = Vec::with_capacity(View::MAX_RANKED_NODES + 1);
     for member in members {
         let rank = HomeRank::new(group, member, domains_out);
-        let is_before =
-            |(other, at): &(HomeRank, &Member)| (*other, &member.node) > (rank, &at.node);
+        let is_before = |(other_rank, other): &(HomeRank, &Member)| {
+            (*other_rank, &member.node) > (rank, &other.node)
+        };
         let index = best.partition_point(is_before);
         if index < View::MAX_RANKED_NODES {
             best.insert(index, (rank, member));
--- a/crates/sassafrasproxy-core/src/query.rs
+++ b/crates/sassafrasproxy-core/src/query.rs
@@ -29,7 +29,7 @@
     pub is_idempotent: bool,
     /// The minimum fraction of shards for a useful answer, from 0 to 1.
     pub min_coverage: f64,
-    /// When the answer is built at the latest; earlier than the caller's deadline.
+    /// The latest time at which the answer is built; earlier than the caller's deadline.
     pub soft_deadline_us: u64,
 }
 
@@ -87,7 +87,7 @@
         /// Whether the node is a fallback for the home, which failed.
         is_fallback: bool,
     },
-    /// Tell a node that the answer to a request is no longer needed.
+    /// Abandon a request at its node, because its answer is no longer needed.
     Abandon {
         /// The request.
         token: ShardRequestToken,
@@ -125,7 +125,7 @@
     unserved_snapshots: IndexSet<SnapshotId>,
     restarts: u32,
     next_token: u32,
-    /// Whether a request that brought no answer may have run.
+    /// Whether a request that got no answer may have run.
     may_have_run: bool,
     is_finished: bool,
     effects: Vec<QueryEffect>,
@@ -252,9 +252,9 @@
     ///
     /// This guards against a home that has crashed or is partitioned while this node still ranks
     /// it first, which shows as a lost connection. The next node serves with one slot per replica,
-    /// so that both nodes together stay within the stated overlap. A node that answers over a new
-    /// connection is tried once more. A request that is not idempotent and may have arrived is not
-    /// sent again.
+    /// so that both nodes together exceed a replica's limit by at most one sub-request. A node that
+    /// answers over a new connection is tried once more. A request that is not idempotent and may
+    /// have arrived is not sent again.
     fn handle_unreachable(
         &mut self,
         token: ShardRequestToken,
@@ -404,8 +404,12 @@
                     coverage.covered.push(shard.shard.clone());
                     body_tokens.push(token);
                 }
-                ShardStatus::Missing { reason, retry_after_ms, may_have_run: may_have } => {
-                    may_have_run |= may_have;
+                ShardStatus::Missing {
+                    reason,
+                    retry_after_ms,
+                    may_have_run: shard_may_have_run,
+                } => {
+                    may_have_run |= shard_may_have_run;
                     first_missing = first_missing.or(Some((reason, retry_after_ms)));
                     coverage.missing.push(MissingShard { shard: shard.shard.clone(), reason });
                 }
@@ -491,7 +495,7 @@
 }
 
 /// Returns the shards of one service in one snapshot and whether each is served; if the snapshot's
-/// layout is not known, the declared shards as not served.
+/// layout is not known, those of the newest known layout or of the configuration, as not served.
 fn shards_at(view: &View, service: &EcoString, snapshot: SnapshotId) -> Vec<(ShardId, bool)> {
     let mut layout: IndexSet<&EcoString> = IndexSet::new();
     let mut servable: IndexSet<&EcoString> = IndexSet::new();
@@ -504,15 +508,15 @@
         }
     }
     if layout.is_empty() {
-        let declared = declared_shards(view, std::slice::from_ref(service));
-        return declared.into_iter().map(|shard| (shard, false)).collect();
+        let known = declared_shards(view, std::slice::from_ref(service));
+        return known.into_iter().map(|shard| (shard, false)).collect();
     }
     let shard = |name: &EcoString| ShardId::new(service.clone(), name.clone());
     layout.iter().map(|name| (shard(name), servable.contains(*name))).collect()
 }
 
-/// Returns the shards in the newest known layout of each service, or without one those in its
-/// configuration.
+/// Returns the shards in the newest known layout of each service; if none is known, those in the
+/// service's configuration.
 fn declared_shards(view: &View, services: &[EcoString]) -> Vec<ShardId> {
     let mut shards = Vec::new();
     for service in services {
--- a/crates/sassafrasproxy-core/src/scheduler/budget.rs
+++ b/crates/sassafrasproxy-core/src/scheduler/budget.rs
@@ -14,8 +14,8 @@
     /// Creates a budget that gains `tokens_per_request` tokens for each base request and holds at
     /// most `max_tokens`.
     ///
-    /// It starts full, unless it gains nothing, so that a new home can retry what a crash of the
-    /// old one lost.
+    /// It starts full, unless `tokens_per_request` is 0, so that a new home can retry what a crash
+    /// of the old one lost.
     pub fn new(tokens_per_request: f64, max_tokens: f64) -> Self {
         Self {
             tokens: if tokens_per_request > 0.0 { max_tokens } else { 0.0 },
--- a/crates/sassafrasproxy-core/src/scheduler/crash_suspects.rs
+++ b/crates/sassafrasproxy-core/src/scheduler/crash_suspects.rs
@@ -20,7 +20,7 @@
     harmless: IndexSet<u64>,
 }
 
-/// The confirmed crashes under one crash suspect.
+/// The confirmed crashes of upstreams that ran one crash suspect.
 #[derive(Debug, Clone, Copy)]
 struct CrashSuspicion {
     crashes: u32,
@@ -52,7 +52,7 @@
         self.harmless.contains(&fingerprint)
     }
 
-    /// Records an upstream's confirmed crash under a request.
+    /// Records a confirmed crash of an upstream that ran a request.
     pub fn record_crash(&mut self, fingerprint: u64, now_us: u64, ttl_us: u64) -> CrashVerdict {
         self.harmless.swap_remove(&fingerprint);
         let expires_us = now_us + ttl_us;
@@ -68,7 +68,7 @@
         CrashVerdict::Quarantined
     }
 
-    /// Clears a request that was answered of suspicion.
+    /// Records that a request was answered: it is harmless and no longer a crash suspect.
     pub fn mark_harmless(&mut self, fingerprint: u64) {
         self.suspected.swap_remove(&fingerprint);
         if self.harmless.len() >= MAX_HARMLESS_ENTRIES {
--- a/crates/sassafrasproxy-core/src/scheduler/dispatch.rs
+++ b/crates/sassafrasproxy-core/src/scheduler/dispatch.rs
@@ -75,7 +75,8 @@
         self.queue = waiting;
     }
 
-    /// Decides whether a queued sub-request is sent, waits or is refused.
+    /// Decides whether a queued sub-request is sent, waits or is refused; takes a token from the
+    /// budget if the sub-request is sent and needs one.
     fn choose_replica(&mut self, now_us: u64, sub_request: SubRequestId) -> DispatchDecision {
         let Some(state) = self.pending.get(&sub_request) else {
             return DispatchDecision::Refuse(Reason::CallerGone);
@@ -111,8 +112,8 @@
         DispatchDecision::Send(address)
     }
 
-    /// Returns the best replica with a free slot: one that has not failed the sub-request, if any,
-    /// and among these the one with the lowest cost.
+    /// Returns the best replica that has a free slot and on which the sub-request may run: one that
+    /// has not failed the sub-request, if any, and among these the one with the lowest cost.
     fn best_replica<'a>(
         &self,
         now_us: u64,
@@ -132,8 +133,10 @@
             .copied()
     }
 
-    /// Whether a sub-request must wait: a crash suspect while another suspect runs or is checked,
-    /// any other request while its own lost connection is checked.
+    /// Whether a sub-request must wait before it is sent.
+    ///
+    /// A crash suspect waits while any crash suspect runs or a probe checks whether one caused a
+    /// crash. Any other sub-request waits while a probe checks a replica that lost its connection.
     fn must_wait_for_isolation(&self, spec: &SubRequestSpec) -> bool {
         if !self.suspects.is_suspect(spec.fingerprint) {
             return self.awaits_crash_check(spec);
@@ -145,7 +148,7 @@
         running.any(is_suspect) || checked.any(is_suspect)
     }
 
-    /// Whether a replica that lost the connection of this request is being checked for a crash.
+    /// Whether a probe checks for a crash of a replica that lost this sub-request's connection.
     fn awaits_crash_check(&self, spec: &SubRequestSpec) -> bool {
         let Some(state) = self.pending.get(&spec.id) else { return false };
         state.last_reason == Some(Reason::ConnectionLost)
--- a/crates/sassafrasproxy-core/src/scheduler/failure_backoff.rs
+++ b/crates/sassafrasproxy-core/src/scheduler/failure_backoff.rs
@@ -18,9 +18,9 @@
 ///
 /// Guards against a replica that fails immediately and is therefore never busy and always
 /// preferred: each failure needs a retry, the budget for retries is spent within seconds, and from
-/// then on callers get answers without the replica's shard. When one of three replicas mismatches
-/// all its answers, 59 of 1,000 searches are answered without the backoff and all of them with it
-/// (test `faulty_replicas`).
+/// then on callers get answers without the replica's shard. If one of three replicas mismatches all
+/// its answers and there is no backoff, only 59 of 1,000 searches are answered; with the backoff,
+/// all are (test `faulty_replicas`).
 #[derive(Debug, Clone, Copy, Default)]
 pub struct FailureBackoff {
     consecutive_failures: u32,
--- a/crates/sassafrasproxy-core/src/scheduler/home.rs
+++ b/crates/sassafrasproxy-core/src/scheduler/home.rs
@@ -1,4 +1,4 @@
-//! Becoming and ceasing to be a group's home, and the hand-over of its state between homes.
+//! Starts and ends a node's role as a group's home, and hands the group's state over.
 
 use ecow::EcoString;
 use sassafrasproxy_wire::{EventKind, HandOver, ReplicaHandOver, SubOutcome};
@@ -60,7 +60,8 @@
         self.effects.push(SchedulerEffect::SendHandOver(hand_over));
     }
 
-    /// Tells the new home that an attempt of the old home ended, so that it can use the slot.
+    /// Reports the end of an attempt to the new home, which can then use the slot; does nothing
+    /// unless this node is the former home.
     ///
     /// Guards against slots that stay reserved until the deadlines of the old home's attempts: with
     /// few replicas left, as when a failure domain is out of service, queries would wait for slots
--- a/crates/sassafrasproxy-core/src/scheduler/latency.rs
+++ b/crates/sassafrasproxy-core/src/scheduler/latency.rs
@@ -20,8 +20,8 @@
     current: Histogram<u32>,
     /// Both half windows together, so that a quantile is read from one histogram.
     combined: Histogram<u32>,
-    /// Quantiles computed since the last recorded latency, because computing one scans the
-    /// histogram.
+    /// The quantiles computed since the last recorded latency; cached because computing one scans
+    /// the histogram.
     quantile_cache: RefCell<Vec<(f64, u64)>>,
 }
 
--- a/crates/sassafrasproxy-core/src/scheduler/message.rs
+++ b/crates/sassafrasproxy-core/src/scheduler/message.rs
@@ -115,7 +115,7 @@
     }
 }
 
-/// A sub-request as the scheduler sees it; its body stays with the shell.
+/// The parts of a sub-request that the scheduler needs; the shell keeps the body.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct SubRequestSpec {
     /// The identifier.
@@ -128,7 +128,7 @@
     pub is_idempotent: bool,
     /// Whether a hedge may start before the first attempt ends; requires `is_idempotent`.
     pub may_hedge: bool,
-    /// A hash of kind and body.
+    /// A hash of the request's kind and body.
     pub fingerprint: u64,
     /// The time by which its sender needs an answer.
     pub deadline_us: u64,
@@ -143,7 +143,7 @@
     Finished {
         /// The attempt.
         attempt: AttemptId,
-        /// How it ended and what the answer's headers said.
+        /// The result and the fields of the answer's headers.
         report: AttemptReport,
     },
     /// A cancelled attempt no longer holds its slot.
@@ -181,7 +181,7 @@
     HandOverReceived(HandOver),
     /// Another scheduler or node found that a request crashes upstreams.
     Quarantine {
-        /// A hash of kind and body.
+        /// A hash of the request's kind and body.
         fingerprint: u64,
         /// The time for which to refuse it, in microseconds.
         ttl_us: u64,
@@ -190,14 +190,14 @@
     Timer,
 }
 
-/// How an attempt ended, with what the answer's headers said.
+/// The result of an attempt and the fields of the answer's headers.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct AttemptReport {
     /// The result of the attempt.
     pub result: AttemptResult,
     /// The boot id of the upstream's process, if the answer named one.
     pub boot_id: Option<EcoString>,
-    /// Whether the answer said that the upstream is leaving.
+    /// Whether the answer reported that the upstream is leaving.
     pub is_draining: bool,
 }
 
@@ -259,7 +259,7 @@
         /// The replica.
         replica: EcoString,
     },
-    /// Tell the replica to stop an attempt, then report [`SchedulerEvent::Cancelled`].
+    /// Ask the replica to stop an attempt, then report [`SchedulerEvent::Cancelled`].
     Cancel {
         /// The attempt.
         attempt: AttemptId,
@@ -286,9 +286,9 @@
         /// The identifier to report it with.
         probe_id: u64,
     },
-    /// Tell the other schedulers and nodes that a request crashes upstreams.
+    /// Announce to the other schedulers and nodes that a request crashes upstreams.
     AnnounceQuarantine {
-        /// A hash of kind and body.
+        /// A hash of the request's kind and body.
         fingerprint: u64,
         /// The time for which to refuse it, in microseconds.
         ttl_us: u64,
@@ -301,7 +301,7 @@
     RecordEvent {
         /// The sub-request that the event belongs to, if any.
         sub_request: Option<SubRequestId>,
-        /// What happened.
+        /// The event.
         kind: EventKind,
     },
 }
--- a/crates/sassafrasproxy-core/src/scheduler/mod.rs
+++ b/crates/sassafrasproxy-core/src/scheduler/mod.rs
@@ -63,7 +63,8 @@
     Home { limits_grow_from_us: u64 },
     /// Asked only when the home cannot be reached; every limit stays at 1.
     Fallback,
-    /// The former home; reports each end of an attempt to the new home. Otherwise like a fallback.
+    /// The former home; reports each end of an attempt to the new home in a hand-over, the last one
+    /// with the number `sequence`. Otherwise like a fallback.
     FormerHome { sequence: u64 },
 }
 
@@ -83,7 +84,7 @@
     stall_resends: u32,
     /// Whether its next attempt takes a token from the budget.
     needs_budget: bool,
-    /// Whether an attempt that gave no answer may have run.
+    /// Whether an attempt that ended without a good answer may have run.
     may_have_run: bool,
     /// The reason of its last failure, for the reply if it is not retried.
     last_reason: Option<Reason>,
--- a/crates/sassafrasproxy-core/src/scheduler/replica.rs
+++ b/crates/sassafrasproxy-core/src/scheduler/replica.rs
@@ -9,8 +9,8 @@
 use super::failure_backoff::FailureBackoff;
 use super::{ReplicaSpec, SchedulerPolicy, StatusReport};
 
-/// A replica that restarts within this time after its limit changed must give more answers before
-/// its limit grows.
+/// The time after a change of a replica's limit within which a restart counts as early; each early
+/// restart in a row raises the number of answers required before the limit grows.
 const EARLY_CRASH_WINDOW_US: u64 = 30_000_000;
 
 /// The maximum number of times that early restarts double the answers required for a slot.
@@ -46,7 +46,7 @@
     pub awaited_probe_id: Option<u64>,
     /// The requests whose connection was lost and which that probe checks for a crash.
     pub lost_fingerprints: IndexSet<u64>,
-    /// Whether the platform's VM list says that it is leaving.
+    /// Whether it is leaving according to the platform's VM list.
     pub vm_leaving: bool,
     /// Whether its failure domain is out of service.
     pub domain_out: bool,
@@ -157,12 +157,12 @@
         }
     }
 
-    /// Whether it may get new work, now or after a pause.
+    /// Whether the replica may get new work, now or after a pause.
     pub fn is_usable(&self) -> bool {
         matches!(self.phase, Phase::Cold | Phase::Serving) && !self.vm_leaving && !self.domain_out
     }
 
-    /// Whether it can take one more sub-request now.
+    /// Whether the replica can take one more sub-request now.
     pub fn has_free_slot(&self, now_us: u64) -> bool {
         let reserved = if self.reserved_until_us > now_us { self.reserved_slots } else { 0 };
         self.is_usable()
@@ -171,7 +171,7 @@
             && self.in_flight + reserved < self.limit
     }
 
-    /// Whether it is paused after shedding a request.
+    /// Whether the replica is paused after shedding a request.
     pub fn is_paused(&self, now_us: u64) -> bool {
         self.paused_until_us > now_us
     }
@@ -187,7 +187,7 @@
             .min()
     }
 
-    /// Whether it holds a shard of a snapshot, by its last status and its refusals.
+    /// Whether the replica holds a shard of a snapshot, by its last status and its refusals.
     pub fn holds(&self, snapshot: SnapshotId, shard: &str, now_us: u64) -> bool {
         let is_held = self
             .held_snapshots
@@ -215,7 +215,8 @@
         self.typical_latency_us.map(|typical_us| typical_us as u64)
     }
 
-    /// Records a good answer; the limit grows after enough warm answers and enough time.
+    /// Records a good answer: the limit grows after enough warm answers and enough time, and
+    /// several slow answers in a row make a serving replica cold.
     ///
     /// `warm_us` is the typical latency of the group's quickest replica, if known. Guards against
     /// an upstream that fails under load while its caches are cold, whatever its status reports:
@@ -279,7 +280,8 @@
         ReplicaChange::Limit
     }
 
-    /// Records the boot id of an answer or a status; a changed one means that it restarted.
+    /// Records the boot id of an answer or a status; a changed one means that the replica has
+    /// restarted.
     pub fn record_boot_id(&mut self, boot_id: &EcoString, now_us: u64) -> ReplicaChange {
         if self.boot_id.as_ref() == Some(boot_id) {
             return ReplicaChange::None;
@@ -289,8 +291,8 @@
         if is_first {
             return ReplicaChange::None;
         }
-        let is_early_crash = now_us < self.limit_changed_us + EARLY_CRASH_WINDOW_US;
-        self.early_crashes = if is_early_crash { self.early_crashes + 1 } else { 0 };
+        let is_early_restart = now_us < self.limit_changed_us + EARLY_CRASH_WINDOW_US;
+        self.early_crashes = if is_early_restart { self.early_crashes + 1 } else { 0 };
         self.reset_to_cold(now_us, "boot_id")
     }
 
@@ -314,7 +316,7 @@
         }
     }
 
-    /// Marks it as leaving; a single source is enough.
+    /// Marks the replica as leaving; a single source is enough.
     pub fn mark_draining(&mut self, sign: &'static str) -> ReplicaChange {
         if self.phase == Phase::Draining {
             return ReplicaChange::None;
@@ -323,7 +325,7 @@
         ReplicaChange::Phase(sign)
     }
 
-    /// Marks it as down after a new connection failed.
+    /// Marks the replica as down after a new connection failed.
     pub fn mark_down(&mut self) -> ReplicaChange {
         if self.phase == Phase::Down {
             return ReplicaChange::None;
@@ -333,7 +335,7 @@
         ReplicaChange::Phase("connect")
     }
 
-    /// Records its status, which may be stale or wrong.
+    /// Records a status of the replica, which may be stale or wrong.
     ///
     /// A status can stop new work or lower the limit at once, but it never raises the limit: a
     /// replica that returns after it was down or leaving starts at a limit of 1, which only answers
@@ -365,7 +367,7 @@
         }
     }
 
-    /// Records until `until_us` that it does not hold a shard of a snapshot.
+    /// Records until `until_us` that the replica does not hold a shard of a snapshot.
     pub fn record_not_held(&mut self, snapshot: SnapshotId, shard: &EcoString, until_us: u64) {
         if self.not_held.len() >= MAX_NOT_HELD_ENTRIES {
             self.not_held.remove(0);
@@ -383,25 +385,25 @@
         ReplicaChange::Phase(sign)
     }
 
-    /// Reserves the slots that its old home still uses, until the last deadline of its attempts.
+    /// Reserves the slots that the old home still uses, until the last deadline of its attempts.
     pub fn reserve_for_old_home(&mut self, hand_over: &ReplicaHandOver, now_us: u64) {
         self.reserved_slots = hand_over.in_flight;
         self.reserved_until_us = now_us + hand_over.busy_ms * crate::US_PER_MS;
     }
 
-    /// Applies the limit and boot id that its old home knew.
+    /// Applies the limit and boot id from the old home's hand-over.
     pub fn apply_hand_over(&mut self, hand_over: &ReplicaHandOver, slots: u32, now_us: u64) {
         self.limit = hand_over.limit.clamp(1, slots);
         self.boot_id.clone_from(&hand_over.boot_id);
         self.limit_changed_us = now_us;
-        // Its snapshots are known only from its first status; until then the phase stays unknown.
+        // Its first status lists its snapshots; until then the phase stays unknown.
         self.has_handed_over_limit = self.phase == Phase::Unknown;
         if self.limit == slots && self.phase == Phase::Cold {
             self.phase = Phase::Serving;
         }
     }
 
-    /// Returns the state that its next home needs.
+    /// Returns the state that the next home needs.
     pub fn to_hand_over(&self, busy_until_us: u64, now_us: u64) -> ReplicaHandOver {
         ReplicaHandOver {
             address: self.spec.address.clone(),
--- a/crates/sassafrasproxy-core/src/scheduler/results.rs
+++ b/crates/sassafrasproxy-core/src/scheduler/results.rs
@@ -54,7 +54,7 @@
         }
     }
 
-    /// Records what the answer's headers said, whatever the result is.
+    /// Records the boot id and the drain mark of the answer's headers, whatever the result is.
     fn record_headers(&mut self, now_us: u64, attempt: &Attempt, report: &AttemptReport) {
         if let Some(boot_id) = &report.boot_id {
             self.update_replica(&attempt.replica, |replica| {
@@ -82,7 +82,7 @@
         self.reply(attempt.sub_request, SubOutcome::Answered, Some(attempt_id));
     }
 
-    /// Pauses a replica that shed and retries; the sub-request did not run there.
+    /// Pauses a replica that shed a sub-request, and retries the sub-request, which did not run.
     fn handle_shed(&mut self, now_us: u64, attempt: &Attempt, retry_after_us: u64) {
         let policy = self.configuration.policy;
         self.update_replica(&attempt.replica, |replica| {
@@ -91,8 +91,8 @@
         self.retry_or_reply(attempt, Reason::Shed, false);
     }
 
-    /// Stops asking a replica for a shard that it does not hold and retries; the sub-request did
-    /// not run there.
+    /// Stops asking a replica for a shard that it does not hold, reads its status and retries the
+    /// sub-request, which did not run.
     fn handle_not_held(&mut self, now_us: u64, attempt: &Attempt) {
         let until_us = now_us + self.configuration.policy.not_held_ttl_us;
         if let (Some(replica), Some(state)) =
@@ -106,7 +106,7 @@
         self.retry_or_reply(attempt, Reason::NotHeld, false);
     }
 
-    /// Probes the replica to find out whether it crashed, and retries the sub-request afterwards.
+    /// Probes the replica to find out whether it crashed; a retry waits until the probe ends.
     ///
     /// Guards against counting a lost connection as a crash: only a refused new connection or a
     /// new boot id, seen by a probe sent after the loss, confirms a crash.
@@ -207,7 +207,8 @@
         }
     }
 
-    /// Records a crash under a request, which suspects or quarantines the request.
+    /// Records a crash of a replica that ran a request: marks the request as a crash suspect or
+    /// quarantines it.
     fn confirm_crash(&mut self, now_us: u64, fingerprint: u64) {
         let ttl_us = self.configuration.policy.quarantine_ttl_us;
         let text = ecow::eco_format!("{fingerprint:016x}");
@@ -237,8 +238,8 @@
     fn overdue_outcome(&self, sub_request: SubRequestId) -> SubOutcome {
         let state = self.pending.get(&sub_request);
         let was_sent = state.is_some_and(|state| state.attempt_count > 0);
-        let unsent_reason = if was_sent { Reason::DeadlineExceeded } else { Reason::Overloaded };
-        let reason = state.and_then(|state| state.last_reason).unwrap_or(unsent_reason);
+        let default_reason = if was_sent { Reason::DeadlineExceeded } else { Reason::Overloaded };
+        let reason = state.and_then(|state| state.last_reason).unwrap_or(default_reason);
         self.refusal_outcome(sub_request, reason)
     }
 }
--- a/crates/sassafrasproxy-core/src/scheduler/stalls.rs
+++ b/crates/sassafrasproxy-core/src/scheduler/stalls.rs
@@ -1,4 +1,4 @@
-//! Detects stalled connections, retires them and resends what was sent on them.
+//! Detects stalled connections, retires them and resends the sub-requests sent on them.
 
 use ecow::EcoString;
 use sassafrasproxy_wire::{EventKind, Reason};
@@ -36,8 +36,9 @@
                 replica.connection_generation == generation && replica.last_answer_us <= started_us
             });
             if is_quiet {
-                // The midpoint, not the start: an answer that was on its way when connections
-                // were lost does not show that a replica's connections still work.
+                // Counts from the midpoint of the wait, not from the attempt's start: an answer
+                // that was already on its way when the connections were lost does not show that a
+                // replica's connections still work.
                 self.retire_quiet_connections(started_us.midpoint(now_us));
             }
             self.resend_stalled(sub_request, attempt_id);
@@ -54,7 +55,7 @@
         state.may_have_run = true;
         state.last_reason = Some(Reason::ConnectionLost);
         state.active_attempts.retain(|active| *active != attempt_id);
-        // An active hedge may still answer, or stall as well.
+        // An active hedge may still answer; if it stalls as well, the sub-request is resent then.
         let is_idle = state.active_attempts.is_empty();
         state.stall_resends += u32::from(is_idle);
         self.cancel_all(&[attempt_id]);
@@ -67,8 +68,8 @@
     /// Returns when an attempt counts as stalled: sooner if its replica has answered nothing since
     /// the attempt started.
     ///
-    /// A replica that answers over other connections may still have lost this one, so an attempt
-    /// counts as stalled in the end whatever else the replica answers.
+    /// A replica that answers over other connections may still have lost this one, so an attempt at
+    /// such a replica also counts as stalled, only later.
     pub(super) fn stall_at_us(&self, attempt: &Attempt) -> Option<u64> {
         let replica = self.replicas.get(&attempt.replica)?;
         if attempt.is_cancelling {
--- a/crates/sassafrasproxy-core/tests/cluster/mod.rs
+++ b/crates/sassafrasproxy-core/tests/cluster/mod.rs
@@ -9,6 +9,7 @@
     Configuration, Heartbeat, Hlc, Limits, MemberState, MemberUpdate, ServiceSpec, UpstreamSpec,
 };
 
+/// One millisecond, in microseconds.
 pub const MS: u64 = 1_000;
 
 /// The latency of a message.
@@ -289,7 +290,7 @@
     }
 }
 
-/// Returns a number of services that have one group with two replicas each.
+/// Returns `groups` services, each with one group of two replicas.
 pub fn services(groups: usize, domains: usize) -> IndexMap<EcoString, ServiceSpec> {
     let service = |number: usize| {
         let upstream = |replica: usize| UpstreamSpec {
@@ -301,7 +302,7 @@
         let spec = ServiceSpec {
             service: name.clone(),
             index: "catalogue".into(),
-            failure_domains: (0..domains).map(|one| eco_format!("domain-{one}")).collect(),
+            failure_domains: (0..domains).map(|domain| eco_format!("domain-{domain}")).collect(),
             upstreams: vec![upstream(0), upstream(1)],
             limits: Limits { slots: 2, connections: 25, queue: 64 },
             deadline_ms: 90,
--- a/crates/sassafrasproxy-core/tests/combined_faults.rs
+++ b/crates/sassafrasproxy-core/tests/combined_faults.rs
@@ -174,8 +174,8 @@
                 "{replica}: in_flight differs from the open attempts"
             );
         }
-        // A step may send to a replica before it learns that the replica is leaving, so only the
-        // configured domains, which are known before the step, are checked.
+        // A step may send to a replica before the report that the replica is leaving is handled, so
+        // only the configured domains, which are set before the step, are checked.
         for (replica, _) in &harness.attempts[attempts_before..] {
             let domain = format!("domain-{replica}");
             let is_out = harness.configuration.domains_out.contains(domain.as_str());
--- a/crates/sassafrasproxy-core/tests/configuration_propagation.rs
+++ b/crates/sassafrasproxy-core/tests/configuration_propagation.rs
@@ -16,9 +16,9 @@
     while cluster.now_us < start_us + limit_ms * MS {
         cluster.advance(10 * MS);
         let wanted = cluster.store.revision;
-        let has =
+        let is_done =
             |(node, is_up): (usize, &bool)| !is_up || cluster.nodes[node].revision() == wanted;
-        if cluster.is_up.iter().enumerate().all(has) {
+        if cluster.is_up.iter().enumerate().all(is_done) {
             return (cluster.now_us - start_us) / MS;
         }
     }
@@ -120,7 +120,7 @@
     convergence_ms(&mut cluster, 5_000);
     let rejected = |revision| ControlEvent::ConfigurationRejected { revision, detail: "x".into() };
     let node = &mut cluster.nodes[0];
-    assert_eq!(node.step(cluster.now_us, rejected(2)).len(), 1, "said loudly, once");
+    assert_eq!(node.step(cluster.now_us, rejected(2)).len(), 1, "the rejection is recorded once");
     assert!(node.step(cluster.now_us, rejected(2)).is_empty());
     assert_eq!((node.revision(), node.rejected_revision().map(|one| one.0)), (1, Some(2)));
 }
@@ -151,14 +151,14 @@
     let node = &mut cluster.nodes[0];
     node.step(now_us, ControlEvent::HoldingsReceived(holdings.clone()));
     let effects = node.step(now_us, ControlEvent::HeartbeatReceived(heartbeat.clone()));
-    assert!(effects.iter().any(is_pull), "asks again");
+    assert!(effects.iter().any(is_pull), "the holdings are pulled again");
 
     cluster.publish(|configuration| configuration.services = services(1, 2));
     convergence_ms(&mut cluster, 2_000);
     let node = &mut cluster.nodes[0];
     node.step(now_us, ControlEvent::HoldingsReceived(holdings));
     let effects = node.step(now_us, ControlEvent::HeartbeatReceived(heartbeat));
-    assert!(!effects.iter().any(is_pull), "now it is known");
+    assert!(!effects.iter().any(is_pull), "the version is recorded once the group is known");
     assert_eq!(node.view().holdings.len(), 1);
 }
 
--- a/crates/sassafrasproxy-core/tests/faulty_replicas.rs
+++ b/crates/sassafrasproxy-core/tests/faulty_replicas.rs
@@ -34,7 +34,7 @@
 
 // One replica answers every request with another request's id; the others give good answers. The
 // replica is preferred, because its attempts end at once and it is always idle, and the retries
-// soon exhaust the budget. Without a backoff, nine answers in ten lack the shard.
+// soon exhaust the budget. Without a backoff, more than nine answers in ten lack the shard.
 #[test]
 fn all_answers_mismatched() {
     let mut harness = SchedulerHarness::warm();
--- a/crates/sassafrasproxy-core/tests/membership.rs
+++ b/crates/sassafrasproxy-core/tests/membership.rs
@@ -46,7 +46,7 @@
     for _ in 0..40 {
         cluster.advance(100 * MS);
         let is_dead = |node| cluster.state_seen_by(node, 3) == Some(MemberState::Dead);
-        assert!(!(0..NODES).any(is_dead), "given up after a short pause");
+        assert!(!(0..NODES).any(is_dead), "marked as dead after a short pause");
     }
     assert!((0..NODES).all(|node| cluster.alive_seen_by(node) == NODES));
 }
--- a/crates/sassafrasproxy-core/tests/request_claims.rs
+++ b/crates/sassafrasproxy-core/tests/request_claims.rs
@@ -15,6 +15,7 @@
 };
 use sassafrasproxy_wire::{ClaimAnswer, ClaimRequest, Ending, RecordRequest};
 
+/// One millisecond, in microseconds.
 const MS: u64 = 1_000;
 const EPOCH_MS: u64 = 10_000;
 
@@ -37,7 +38,7 @@
     call: Option<StoreCall>,
     /// A call that was reported as failed and takes effect late.
     delayed: Option<StoreCall>,
-    /// How far the node's wall clock is ahead.
+    /// The time by which the node's wall clock is ahead.
     skew_ms: u64,
     restarts: u32,
 }
@@ -259,7 +260,11 @@
     let tokens: Vec<_> = (1..100).map(|n| simulation.claim(0, &format!("order-{n}"), 1)).collect();
     simulation.settle();
     assert!(tokens.iter().all(|token| simulation.answers[token] == ClaimAnswer::Granted));
-    assert_eq!(simulation.writes - before, 2, "the first, and all that came while it ran");
+    assert_eq!(
+        simulation.writes - before,
+        2,
+        "one write for the first claim, one for all that arrived meanwhile"
+    );
 }
 
 // Guards against two grants of one key when an epoch changes. The clocks of two nodes differ, so
--- a/crates/sassafrasproxy-core/tests/snapshot_choice.rs
+++ b/crates/sassafrasproxy-core/tests/snapshot_choice.rs
@@ -90,7 +90,7 @@
             1.0,
         ),
         (
-            "half rolled",
+            "newer one on half of the shards",
             &[("a", &[(7, &["s0", "s1"], &["s0", "s1"]), (8, &["s0", "s1"], &["s0"])])],
             7,
             1.0,
@@ -105,7 +105,7 @@
             2.0 / 3.0,
         ),
         (
-            "repartition from 4 to 6",
+            "repartition from 4 to 6 shards",
             &[(
                 "a",
                 &[
@@ -153,7 +153,7 @@
             QueryEffect::RequestShard { .. } | QueryEffect::RecordEvent(_) => {}
         }
     }
-    panic!("the query ends once every ask is answered");
+    panic!("the query did not end although every shard request was answered");
 }
 
 const BOTH_SNAPSHOTS_SERVED: HoldingsCase =
@@ -189,14 +189,14 @@
 fn combined_outcomes() {
     let shed = SubOutcome::NotRun { reason: Reason::Shed, retry_after_ms: 50 };
     let lost = SubOutcome::Unknown { reason: Reason::ConnectionLost };
-    let yes = SubOutcome::Answered;
+    let answered = SubOutcome::Answered;
     let cases = [
-        ("all answered", false, [yes, yes], Outcome::Answered),
+        ("all answered", false, [answered, answered], Outcome::Answered),
         ("none ran", false, [shed, shed], Outcome::NotRun),
         ("one may have run", false, [shed, lost], Outcome::Unknown),
-        ("one ran", false, [yes, shed], Outcome::Partial),
-        ("search with a gap", true, [yes, lost], Outcome::Answered),
-        ("search without any", true, [lost, shed], Outcome::Unknown),
+        ("one ran", false, [answered, shed], Outcome::Partial),
+        ("search with a missing shard", true, [answered, lost], Outcome::Answered),
+        ("search without any answer", true, [lost, shed], Outcome::Unknown),
     ];
     for (name, is_idempotent, outcomes, expected) in cases {
         let view = view(&[("a", &[(7, &["s0", "s1"], &["s0", "s1"])])]);
