--- a/crates/sassafrasproxy-core/src/forward/registry/broadcast_queue.rs
+++ b/crates/sassafrasproxy-core/src/forward/registry/broadcast_queue.rs
@@ -4,10 +4,10 @@
 
 use indexmap::IndexMap;
 
-/// The number of a node's datagrams that carry an item.
+/// The number of datagrams in which a node sends an item.
 const TRANSMITS_PER_ITEM: u32 = 24;
 
-/// How long an item is kept, in microseconds, so that a node does not queue it again.
+/// The time for which an item is kept so that a node does not queue it again, in microseconds.
 const RETENTION_US: u64 = 30_000_000;
 
 /// The maximum number of items in a datagram.
--- a/crates/sassafrasproxy-core/src/forward/registry/datagram.rs
+++ b/crates/sassafrasproxy-core/src/forward/registry/datagram.rs
@@ -27,7 +27,7 @@
     /// A hash over the sender's members that are not dead, by which the receiver detects that
     /// the two member tables differ.
     pub members_hash: u64,
-    /// The latest revision of the store that the sender has heard of.
+    /// The latest revision of the store that, according to the sender, any node has synced to.
     pub latest: LatestRevision,
     /// Whether the store is unavailable to the sender.
     pub is_store_unavailable: bool,
@@ -39,17 +39,21 @@
     pub trial_reports: Vec<TrialReport>,
     /// Hashes over a part of the sender's members; sent while the two member tables differ.
     pub digests: Option<Digests>,
-    /// Updates on members that the receiver may not know yet.
+    /// Updates on members that the receiver may not have received yet.
     pub updates: Vec<GossipUpdate>,
 }
 
 impl PeerDatagram {
     /// Encodes the datagram into the bytes to send.
+    ///
+    /// Fails with `DatagramError::EncodeFailed` if a field cannot be encoded.
     pub fn encode(&self) -> Result<Vec<u8>, DatagramError> {
         postcard::to_extend(self, vec![FORMAT]).map_err(DatagramError::EncodeFailed)
     }
 
     /// Decodes a datagram from the bytes that were received.
+    ///
+    /// Fails with `DatagramError::Empty`, `UnsupportedFormat` or `Malformed`.
     pub fn decode(bytes: &[u8]) -> Result<Self, DatagramError> {
         match bytes.split_first() {
             Some((&FORMAT, body)) => postcard::from_bytes(body).map_err(DatagramError::Malformed),
@@ -144,8 +148,8 @@
 
 /// The latest revision of the store that any node is known to have synced to.
 ///
-/// Each datagram passes this on, because a node of a large fleet hears from each other node only
-/// occasionally: a node whose watch has stalled must learn within seconds that it is behind.
+/// Each datagram carries it, so that a node whose watch has stalled detects within seconds that it
+/// is behind, although in a large fleet it rarely receives a datagram from any one peer.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct LatestRevision {
--- a/crates/sassafrasproxy-core/src/forward/registry/discovery/events.rs
+++ b/crates/sassafrasproxy-core/src/forward/registry/discovery/events.rs
@@ -7,9 +7,9 @@
 /// An input of discovery.
 #[derive(Debug, Clone, PartialEq)]
 pub enum DiscoveryEvent {
-    /// A list of the whole store starts, at a revision of the store.
+    /// A list of the whole store starts.
     ListStarted {
-        /// The store's revision.
+        /// The store's revision at the start of the list.
         revision: u64,
     },
     /// An entry was listed or written.
@@ -28,22 +28,22 @@
     },
     /// The list ended; entries that were not listed are gone.
     ListEnded,
-    /// A peer that has synced further with the store sent all entries it knows.
+    /// A peer that has synced further with the store sent all its entries.
     PeerEntries {
         /// The peer's entries, each with its revision in the store.
         entries: Vec<(RegistryEntry, u64)>,
         /// The revision of the store up to which the peer has synced.
         revision: u64,
     },
-    /// A peer that follows the store reports until when expired entries may be registered again.
+    /// A peer that follows the store reports until when replicas whose entries expired are held.
     HoldUntil {
         /// The time, in microseconds of this node's clock.
         until_us: u64,
     },
     /// The events that follow come from a peer that has synced further with the store.
     ///
-    /// The store thus serves at least one node, so entries that are gone did not all expire in an
-    /// outage. The peer reports with `HoldUntil` how long expired entries are held.
+    /// The store thus serves at least one node, so a missing entry does not count as expired in an
+    /// outage. If entries did expire, the peer sends `HoldUntil`.
     PeerSyncStarted,
     /// A rollout was stopped.
     RolloutStopped {
@@ -87,7 +87,7 @@
         /// Whether the replica is held because the store is or was recently unavailable.
         is_held: bool,
     },
-    /// An entry that a replica wrote before the known one was ignored.
+    /// A replica's entry was ignored because the replica wrote it before the known one.
     StaleEntryIgnored {
         /// The replica's id.
         id: EcoString,
--- a/crates/sassafrasproxy-core/src/forward/registry/discovery/known_replica.rs
+++ b/crates/sassafrasproxy-core/src/forward/registry/discovery/known_replica.rs
@@ -22,12 +22,12 @@
     pub cold_until_us: u64,
     /// Whether the current or last list of the store contains the entry.
     pub is_listed: bool,
-    /// Until when the replica is held; set while its entry is gone but the replica may be alive.
+    /// The end of the replica's hold; set while its entry is gone but the replica may be alive.
     pub held_until_us: Option<u64>,
 }
 
 impl KnownReplica {
-    /// Whether an entry brings no change that the catalogue must show.
+    /// Whether an entry changes nothing that the catalogue must show.
     ///
     /// The entry of a cold replica changes with each heartbeat, because the remaining time of its
     /// cold start decreases.
--- a/crates/sassafrasproxy-core/src/forward/registry/discovery/mod.rs
+++ b/crates/sassafrasproxy-core/src/forward/registry/discovery/mod.rs
@@ -19,12 +19,13 @@
     RolloutState, RouteTable,
 };
 
-/// How long a replica whose entry expired is held after the store recovers, in microseconds.
+/// The time for which a replica whose entry expired is held after the store recovers, in
+/// microseconds.
 ///
 /// The store's operators promise that replicas register again within about two seconds.
 const REREGISTRATION_GRACE_US: u64 = 2_200_000;
 
-/// The state of discovery, which changes only by the events that it is given.
+/// A node's view of the entries of the store, which changes only by the events passed to `step`.
 #[derive(Debug, Default)]
 pub struct Discovery {
     configuration: Arc<RouteConfiguration>,
@@ -42,7 +43,7 @@
     nodes: IndexMap<EcoString, NodeRegistration>,
     rollouts: RolloutEntries,
     is_store_unavailable: bool,
-    /// Until when replicas whose entries are gone are held, in microseconds.
+    /// The time until which replicas whose entries are gone are held, in microseconds.
     hold_until_us: u64,
     log_events: Vec<DiscoveryLogEvent>,
     is_catalogue_stale: bool,
@@ -108,12 +109,12 @@
         self.nodes.values()
     }
 
-    /// Whether the store has a registration of a node, as far as this node knows.
+    /// Whether the received entries contain a registration of a node.
     pub fn is_registered(&self, node: &str) -> bool {
         self.nodes.contains_key(node)
     }
 
-    /// Returns when the hold of the next replica ends, in microseconds; `None` if none is held.
+    /// Returns the earliest end of a replica's hold, in microseconds; `None` if none is held.
     pub fn next_hold_expiry_us(&self) -> Option<u64> {
         self.replicas.values().filter_map(|replica| replica.held_until_us).min()
     }
@@ -165,7 +166,7 @@
         self.rollouts.rollout_states(&self.catalogue_replicas(), is_configured)
     }
 
-    /// Returns until when replicas whose entries are gone are held, in microseconds.
+    /// Returns the time until which replicas whose entries are gone are held, in microseconds.
     pub fn hold_until_us(&self) -> u64 {
         self.hold_until_us
     }
--- a/crates/sassafrasproxy-core/src/forward/registry/entries.rs
+++ b/crates/sassafrasproxy-core/src/forward/registry/entries.rs
@@ -1,4 +1,4 @@
-//! Defines the entries of the store, decoded, and a log of their recent changes.
+//! Defines the decoded entries of the store and a log of their recent changes.
 
 use std::collections::VecDeque;
 
@@ -11,8 +11,8 @@
 
 /// The maximum number of changes kept for peers.
 ///
-/// This is several times the number of replicas in a fleet, so that peers still get the changes
-/// alone when one whole set of shards is replaced by another.
+/// Several times the number of replicas in a fleet, so that peers need only the changes, not all
+/// entries, even after one whole set of shards was replaced by another.
 const MAX_LOGGED_CHANGES: usize = 2_048;
 
 /// A decoded entry of the store.
@@ -21,7 +21,7 @@
 pub enum RegistryEntry {
     /// The latest configuration.
     Configuration(RouteConfiguration),
-    /// A failure domain, by name, that is out of service.
+    /// The name of a failure domain that is out of service.
     DomainOut(EcoString),
     /// A replica's entry.
     Replica(ReplicaEntry),
@@ -39,8 +39,9 @@
 pub struct NodeRegistration {
     /// The node as a member.
     pub member: MemberUpdate,
-    /// The number of nodes that the node knew, so that a node that starts does not assume a small
-    /// fleet.
+    /// The number of nodes that the node knew when it registered.
+    ///
+    /// A node that starts uses it so that it does not assume a small fleet.
     #[serde(default)]
     pub node_count: u32,
 }
@@ -51,7 +52,7 @@
 pub enum RegistryKey {
     /// The configuration.
     Configuration,
-    /// Whether a failure domain is out of service, by name.
+    /// The entry that takes a failure domain out of service, by the domain's name.
     DomainOut(EcoString),
     /// A replica, by id.
     Replica(EcoString),
@@ -77,7 +78,7 @@
     }
 }
 
-/// The recent changes, from which peers are sent only what changed instead of all entries.
+/// A log of recent changes, so that peers are sent only the changes instead of all entries.
 #[derive(Debug, Default)]
 pub struct ChangeLog {
     /// The changed keys, oldest first, each with the store's revision of the change.
--- a/crates/sassafrasproxy-core/src/forward/registry/gossip/mod.rs
+++ b/crates/sassafrasproxy-core/src/forward/registry/gossip/mod.rs
@@ -1,9 +1,9 @@
-//! Keeps the membership of the nodes by heartbeats over datagrams, similar to SWIM.
+//! Tracks the membership of the nodes by probes and answers in datagrams, similar to SWIM.
 //!
-//! A heartbeat shows that its sender is alive and carries a hash of the members that the sender
-//! knows. Only nodes whose hashes differ exchange more: first the recent changes, then, by digests,
-//! all other differences. While nothing changes, a node's traffic thus consists of its probes only,
-//! whatever the size of the fleet.
+//! Each datagram shows that its sender is alive and carries a hash over the sender's members. Only
+//! nodes whose hashes differ exchange more: first the recent changes, then, by digests, all other
+//! differences. While nothing changes, a node's traffic thus consists of probes and answers only,
+//! regardless of the size of the fleet.
 
 mod policy;
 mod roles;
@@ -28,10 +28,12 @@
 /// The number of datagrams that are sent to probe a member again after a missed probe.
 const RETRY_PROBE_COPIES: usize = 2;
 
-/// The number of suspected members in a failure domain at which its other members are probed.
+/// The minimum number of suspected members in a failure domain for extra probes of its other
+/// members.
 const MIN_DOMAIN_SUSPECTS: usize = 2;
 
-/// The maximum number of members of such failure domains that are probed per tick.
+/// The maximum number of extra probes per tick to members of failure domains with at least
+/// `MIN_DOMAIN_SUSPECTS` suspected members.
 const MAX_SUSPECT_DOMAIN_PROBES: usize = 2;
 
 /// The number of peers that are notified at once that a member is suspected or leaving; they pass
@@ -40,7 +42,7 @@
 
 /// The maximum number of urgent updates in a datagram.
 ///
-/// A loss of a failure domain is thus sent whole, as far as the datagram's size permits.
+/// High enough to report the loss of a whole failure domain, as far as the datagram's size permits.
 const MAX_URGENT_UPDATES: usize = 64;
 
 /// The maximum number of recent updates in a datagram of an exchange.
@@ -54,7 +56,7 @@
 /// The number of peers that are notified at once of an event that cannot wait; they pass it on.
 const NOTICE_FANOUT: usize = 24;
 
-/// The maximum number of seeds that are not yet members that are probed per tick.
+/// The maximum number of probes per tick to seeds that are not yet a member's address.
 const MAX_SEED_PROBES: usize = 8;
 
 /// The number of ticks between probes to members of any failure domain, for a node that has just
@@ -246,7 +248,7 @@
         let mut sends = self.send_urgent(now_us);
         sends.extend(self.reply(now_us, peer_address, datagram));
         if self.is_store_unavailable && !datagram.trial_reports.is_empty() {
-            // Tells the sender that this node cannot coordinate, so that it reports to another.
+            // Informs the sender that this node cannot coordinate, so that it reports to another.
             let datagram = self.datagram(now_us, DatagramKind::Notice);
             sends.push(OutgoingDatagram { peer_address: peer_address.into(), datagram });
         }
@@ -272,8 +274,8 @@
         if !self.views_differ {
             return Some(OutgoingDatagram { peer_address: peer_address.into(), datagram: reply });
         }
-        // A sender whose state is outdated at this node, such as suspected or dead, learns of it at
-        // once and can refute it.
+        // If this node has another state of the sender, such as suspected or dead, the reply
+        // carries that state, so that the sender can refute it.
         let known = self.members.member(&sender.node);
         let outdated =
             known.filter(|known| known.state != sender.state).map(GossipUpdate::state_only);
@@ -360,7 +362,7 @@
         }
     }
 
-    /// Applies what a datagram says about its sender.
+    /// Applies the sender's state and the latest revision, and ends the sender's pending probe.
     fn process_sender(&mut self, now_us: u64, datagram: &PeerDatagram) {
         let sender = &datagram.sender;
         if let Some(known) = self.members.member(&sender.node) {
@@ -496,7 +498,7 @@
     /// Notifies a few peers of members that became suspected or leaving and were not reported yet.
     ///
     /// Callers are sent to lost nodes until the directories are updated, and probes alone would
-    /// take seconds to inform a large fleet.
+    /// take seconds to reach all nodes of a large fleet.
     fn send_urgent(&mut self, now_us: u64) -> Vec<OutgoingDatagram> {
         if !self.has_urgent_changes || now_us < self.last_urgent_us + URGENT_INTERVAL_US {
             return Vec::new();
@@ -550,7 +552,7 @@
     }
 }
 
-/// Returns the next step of an exchange between nodes whose views differ; `None` at its end.
+/// Returns the kind of the reply to a datagram; `None` if the datagram ends its exchange.
 fn reply_kind(received: DatagramKind) -> Option<DatagramKind> {
     match received {
         DatagramKind::Probe => Some(DatagramKind::Answer),
--- a/crates/sassafrasproxy-core/src/forward/registry/gossip/policy.rs
+++ b/crates/sassafrasproxy-core/src/forward/registry/gossip/policy.rs
@@ -8,14 +8,14 @@
     /// The time between two ticks of a node that is alone, or has just started and still has a
     /// different view from its peers, in microseconds.
     pub startup_tick_interval_us: u64,
-    /// How long after its start a node counts as just started, in microseconds.
+    /// The time after its start for which a node counts as just started, in microseconds.
     pub startup_us: u64,
     /// The number of members that are probed per tick.
     pub probes_per_tick: usize,
     /// The number of members of its own failure domain that a node probes per tick while it has
     /// just started and still has a different view from its peers.
     pub startup_probes_per_tick: usize,
-    /// How long the answer to a probe may take, in microseconds.
+    /// The time after which an unanswered probe counts as missed, in microseconds.
     ///
     /// Shorter than a tick, because timers fire unevenly.
     pub probe_timeout_us: u64,
@@ -23,28 +23,30 @@
     ///
     /// More than one, because datagrams get lost.
     pub suspect_after_misses: u32,
-    /// How long a suspected member has to refute the suspicion before it is dead, in microseconds.
+    /// The time that a suspected member has to refute the suspicion before it is declared dead, in
+    /// microseconds.
     pub suspicion_timeout_us: u64,
-    /// How long a dead member is kept, in microseconds.
+    /// The time for which a dead member is kept, in microseconds.
     pub dead_retention_us: u64,
     /// The number of nodes that watch the store; in a smaller fleet, all nodes watch it.
     pub max_watchers: usize,
     /// The number of nodes that keep a registration in the store, where new nodes find members.
     pub max_registered: usize,
-    /// How long a node that knows other nodes waits before it registers, in microseconds.
+    /// The delay before a node that knows other nodes registers, in microseconds.
     ///
-    /// Its seeds may already know a fleet with enough registrations.
+    /// The node's seeds may already belong to a fleet with enough registrations.
     pub registration_delay_us: u64,
     /// The CPU below which a node looks for a larger one to bootstrap from, in thousandths of a
     /// core.
     pub small_node_cpu_millis: u32,
-    /// How long such a node looks for a larger one in its failure domain before it reads the store
-    /// itself, in microseconds.
+    /// The time for which a node with less CPU than `small_node_cpu_millis` looks for a larger one
+    /// in its failure domain before it reads the store itself, in microseconds.
     ///
     /// The wait is bounded because the failure domains that can be lost at once may contain all
     /// larger nodes.
     pub bootstrap_wait_us: u64,
-    /// How long a node that knows no other node, or no larger one, looks for one, in microseconds.
+    /// The time for which a node that knows no other node, or no larger one, looks for one, in
+    /// microseconds.
     pub isolated_wait_us: u64,
 }
 
--- a/crates/sassafrasproxy-core/src/forward/registry/gossip/roles.rs
+++ b/crates/sassafrasproxy-core/src/forward/registry/gossip/roles.rs
@@ -22,8 +22,8 @@
     /// Returns the source from which this node syncs.
     ///
     /// After a recent failure of a peer, this is the most advanced peer if one is known. The next
-    /// peer in order may know no more than the failed one, for example when the store has compacted
-    /// its history or is unreachable for many nodes.
+    /// peer in order may be as far behind as the failed one, for example when the store has
+    /// compacted its history or is unreachable for many nodes.
     pub fn sync_source(&self, now_us: u64) -> SyncSource {
         let source =
             self.source_selector.sync_source(now_us, &self.members, self.policy.max_watchers);
--- a/crates/sassafrasproxy-core/src/forward/registry/mod.rs
+++ b/crates/sassafrasproxy-core/src/forward/registry/mod.rs
@@ -1,8 +1,8 @@
 //! Keeps track of the configuration, replicas and nodes, as learned from the store and from peers.
 //!
-//! `StoreSync` decides how to read the store, and `Gossip` names the peer to learn from instead;
-//! both lead to registry entries. `Discovery` applies the entries, holds replicas through an outage
-//! of the store, and builds the catalogue that all other decisions read.
+//! `StoreSync` decides how to read entries from the store, and `Gossip` selects the peer from which
+//! a node that does not watch the store gets them. `Discovery` applies the entries, holds replicas
+//! through an outage of the store, and builds the catalogue on which requests are routed.
 
 mod broadcast_queue;
 mod catalogue;
--- a/crates/sassafrasproxy-core/src/forward/registry/probe_tracker.rs
+++ b/crates/sassafrasproxy-core/src/forward/registry/probe_tracker.rs
@@ -34,7 +34,7 @@
     /// Records another probe of each member that missed its last one, and returns the members' peer
     /// addresses.
     ///
-    /// The regular probe of the same member comes only after a whole round of all members. Until
+    /// The regular probe of the same member follows only after all other members were probed. Until
     /// then, callers would still be sent to the nodes of a lost failure domain.
     pub fn retry_missed(&mut self, now_us: u64, members: &MemberTable) -> IndexSet<EcoString> {
         let mut peer_addresses = IndexSet::new();
--- a/crates/sassafrasproxy-core/src/forward/registry/recent_updates.rs
+++ b/crates/sassafrasproxy-core/src/forward/registry/recent_updates.rs
@@ -6,7 +6,9 @@
 use super::datagram::GossipUpdate;
 use crate::MemberTable;
 
-/// How long a change counts as recent, in microseconds; digests find changes that spread later.
+/// The time for which a change counts as recent, in microseconds.
+///
+/// Peers that missed a change in this time find it by comparing digests.
 const RETENTION_US: u64 = 2_000_000;
 
 /// The members that changed recently.
--- a/crates/sassafrasproxy-core/src/forward/registry/rollouts.rs
+++ b/crates/sassafrasproxy-core/src/forward/registry/rollouts.rs
@@ -25,7 +25,8 @@
     records: IndexMap<EcoString, Versioned<RolloutRecord>>,
     /// The store's revisions of orders that were stopped, possibly before their record shows it.
     stopped_orders: IndexSet<u64>,
-    /// The store's revision that this process had synced to when it first knew all entries.
+    /// The store's revision of the first list that this process received, or of the first entries
+    /// from a peer.
     initial_revision: Option<u64>,
 }
 
@@ -44,7 +45,8 @@
         Self { participant, ..Self::default() }
     }
 
-    /// Records the revision up to which this node has synced; only the first call has an effect.
+    /// Records the store's revision of a list or of a peer's entries; only the first call has an
+    /// effect.
     pub fn record_initial_revision(&mut self, revision: u64) {
         self.initial_revision.get_or_insert(revision);
     }
@@ -64,12 +66,12 @@
         remove_if_older(&mut self.orders, service, revision)
     }
 
-    /// Removes a record that was removed at a revision; returns whether one was removed.
+    /// Removes a record that the store removed at a revision; returns whether one was removed.
     pub fn remove_record(&mut self, service: &EcoString, revision: u64) -> bool {
         remove_if_older(&mut self.records, service, revision)
     }
 
-    /// Records that an order was stopped; returns whether that was unknown.
+    /// Records that an order was stopped; returns whether this was not recorded before.
     pub fn mark_stopped(&mut self, order_revision: u64) -> bool {
         self.stopped_orders.insert(order_revision)
     }
@@ -239,7 +241,8 @@
     }
 }
 
-/// Inserts an entry unless one of the same or a newer revision is known, which counts as listed.
+/// Inserts an entry, or marks the known one as listed if its revision is the same or newer; returns
+/// whether the entry was inserted.
 fn upsert_if_newer<T: PartialEq>(
     entries: &mut IndexMap<EcoString, Versioned<T>>,
     service: EcoString,
--- a/crates/sassafrasproxy-core/src/forward/registry/source_selector.rs
+++ b/crates/sassafrasproxy-core/src/forward/registry/source_selector.rs
@@ -6,10 +6,10 @@
 
 use crate::{Member, MemberTable};
 
-/// How long a peer that could not be followed is ranked last, in microseconds.
+/// The time for which a peer that could not be followed is ranked last, in microseconds.
 const FAILED_PEER_BACKOFF_US: u64 = 8_000_000;
 
-/// How long a node that reports the store as unavailable is ranked last, in microseconds.
+/// The time for which a node that reports the store as unavailable is ranked last, in microseconds.
 const STORE_UNAVAILABLE_BACKOFF_US: u64 = 30_000_000;
 
 /// The maximum number of deprioritized peers; above it, the one that failed first regains its rank.
@@ -20,7 +20,9 @@
 /// The maximum number of nodes of a failure domain that follow the same node of that domain.
 const MAX_FOLLOWERS: usize = 16;
 
-/// The number of nodes that may coordinate, so that the loss of some causes no long delay.
+/// The maximum number of nodes that may coordinate.
+///
+/// More than one, so that the loss of some causes no long delay.
 const MAX_COORDINATORS: usize = 4;
 
 /// The source from which a node learns the entries of the store.
@@ -45,14 +47,15 @@
         /// The peer's address.
         peer_address: EcoString,
     },
-    /// Not decided yet; the node still waits to hear of a larger one.
+    /// Not decided yet; the node still looks for a larger one.
     Undecided,
 }
 
 /// Ranks the nodes for watching the store.
 ///
 /// All nodes that agree on the members compute the same order, so a fleet of any size has the same
-/// few watchers. A node replaces a watcher only if it has deprioritized nodes that rank above it.
+/// few watchers. Another node becomes a watcher only if it has deprioritized nodes that otherwise
+/// rank above it.
 #[derive(Debug, Default)]
 pub struct SourceSelector {
     /// The deprioritized nodes, by name; at most `MAX_DEPRIORITIZED`.
@@ -61,7 +64,7 @@
 
 #[derive(Debug, Clone, Copy)]
 struct Deprioritization {
-    /// Until when the node is ranked last, in microseconds.
+    /// The time until which the node is ranked last, in microseconds.
     until_us: u64,
     /// Whether the node itself reported the store as unavailable.
     is_store_unavailable: bool,
@@ -140,11 +143,11 @@
         &self,
         now_us: u64,
         members: &'a MemberTable,
-        is_unavailable: bool,
+        is_store_unavailable: bool,
     ) -> Vec<&'a Member> {
         let mut ranked = self.ranked_members(now_us, members);
         let me = &members.local_member().node;
-        ranked.sort_by_key(|member| is_unavailable && member.node == *me);
+        ranked.sort_by_key(|member| is_store_unavailable && member.node == *me);
         ranked.truncate(MAX_COORDINATORS);
         ranked
     }
@@ -198,7 +201,7 @@
     NotFound,
 }
 
-/// Searches for the larger node that this node bootstraps from.
+/// Searches the members for a larger node that this node can bootstrap from.
 ///
 /// A larger node has at least twice the CPU. Small nodes bootstrap from it, so that only the large
 /// ones list the store.
--- a/crates/sassafrasproxy-core/src/forward/registry/store_sync.rs
+++ b/crates/sassafrasproxy-core/src/forward/registry/store_sync.rs
@@ -6,12 +6,13 @@
 /// The timeouts and delays of the loop that follows the store.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct StoreSyncPolicy {
-    /// How long a watch waits for a change, in milliseconds.
+    /// The time for which a watch waits for a change, in milliseconds.
     ///
     /// Bounds the time to detect a store that accepts the call but never answers it. The store's
-    /// connection still answers keep-alive probes, and if all watches hang, no peer knows more.
+    /// connection still answers keep-alive probes, and if all watches hang, no peer has synced
+    /// further.
     pub watch_timeout_ms: u64,
-    /// How long after a change the next watch starts, in microseconds.
+    /// The delay between a change and the start of the next watch, in microseconds.
     ///
     /// The delay lets changes share a call. It counts towards the three seconds within which a
     /// change must be active, and it is shorter than the interval between two comparisons with
@@ -51,7 +52,7 @@
     Watch {
         /// The revision.
         after_revision: u64,
-        /// How long to wait, in milliseconds.
+        /// The maximum time to wait, in milliseconds.
         wait_ms: u64,
     },
     /// Does nothing until a time.
@@ -205,7 +206,7 @@
     /// Jitter prevents all nodes from retrying at once.
     fn backoff_us(&mut self) -> u64 {
         let doubled = self.policy.initial_backoff_us << self.consecutive_failures.min(8);
-        let pause_us = doubled.min(self.policy.max_backoff_us);
-        self.rng.random_range(pause_us / 2..=pause_us)
+        let max_pause_us = doubled.min(self.policy.max_backoff_us);
+        self.rng.random_range(max_pause_us / 2..=max_pause_us)
     }
 }
--- a/crates/sassafrasproxy-core/tests/gossip.rs
+++ b/crates/sassafrasproxy-core/tests/gossip.rs
@@ -20,7 +20,8 @@
 }
 
 /// Guards against a directory that lists a VM long after the VM lost power, so that callers are
-/// still sent to it. Within seven seconds of the loss, no node may list the VM.
+/// still sent to it. No node may list the VM seven seconds after the loss; the test checks this
+/// after five.
 #[test]
 fn failed_node_is_removed() {
     let mut fleet = Fleet::new(8);
@@ -110,7 +111,7 @@
 }
 
 /// Guards against a node that sends to a replica after the replica left. One of eight nodes pauses,
-/// and a node that follows it receives no changes from it. Whichever node pauses, the heartbeats of
+/// and a node that follows it receives no changes from it. Whichever node pauses, the datagrams of
 /// the other watchers must show within a second that a newer revision exists.
 #[test]
 fn stalled_watcher_is_noticed() {
@@ -133,8 +134,8 @@
     }
 }
 
-/// Guards against nodes that follow nobody after losses. Nodes are lost until fewer are left than
-/// should watch the store; all remaining nodes must watch it themselves.
+/// Guards against nodes without a sync source after losses. Nodes are lost until fewer are left
+/// than should watch the store; all remaining nodes must watch it themselves.
 #[test]
 fn all_remaining_nodes_watch() {
     let mut fleet = Fleet::new(8);
@@ -183,7 +184,7 @@
     let mut fleet = Fleet::new(60);
     fleet.run_s(20);
     let follower = (0..60).find(|index| !fleet.watchers().contains(index)).unwrap();
-    // The nodes of one other failure domain know the change; those of its own do not.
+    // The nodes of one other failure domain have the change; those in the follower's own do not.
     let informed: Vec<usize> = (0..60).filter(|index| index % 4 == (follower + 1) % 4).collect();
     for index in &informed {
         fleet.nodes[*index].set_store_revision(100);
@@ -196,13 +197,13 @@
     let SyncSource::Peer { peer_address } = fleet.nodes[follower].sync_source(fleet.now_us) else {
         panic!("{follower} reads the store")
     };
-    assert!(informed.contains(&node_index(&peer_address)), "{peer_address} knows no more");
+    assert!(informed.contains(&node_index(&peer_address)), "{peer_address} has no newer revision");
 }
 
 /// Guards against a node that sends to a replica long after the replica left, because its watch has
-/// stalled. Each node hears directly from only a few others per second, so the latest revision must
-/// spread to all sixty nodes within two seconds: the replica may get nothing new three or five
-/// seconds later.
+/// stalled. Each node receives datagrams from only a few others per second, but the latest revision
+/// must spread to all sixty nodes within two seconds: the replica may get nothing new three or
+/// five seconds later.
 #[test]
 fn latest_revision_spreads_quickly() {
     let mut fleet = Fleet::new(60);
--- a/crates/sassafrasproxy-core/tests/gossip_convergence.rs
+++ b/crates/sassafrasproxy-core/tests/gossip_convergence.rs
@@ -11,7 +11,7 @@
 /// Long enough to detect a death and for a few exchanges; dead members need not be dropped yet.
 const CONVERGENCE_S: u64 = 12;
 
-/// Something that happens to a fleet.
+/// A fault, or another step between faults, that is applied to a fleet.
 #[derive(Debug, Clone)]
 enum Fault {
     /// A node loses power.
--- a/crates/sassafrasproxy-core/tests/nodes/mod.rs
+++ b/crates/sassafrasproxy-core/tests/nodes/mod.rs
@@ -35,7 +35,7 @@
     pub loss_rate: f64,
     /// The traffic that each node sent since it was last taken.
     pub sent: Vec<SentTraffic>,
-    /// The size of the largest datagram, in bytes.
+    /// The size of the largest datagram sent since a test last reset the field, in bytes.
     pub max_datagram_bytes: usize,
     /// The datagrams about rollouts that were received, each with its receiver.
     pub rollout_datagrams: Vec<(usize, PeerDatagram)>,
--- a/crates/sassafrasproxy-core/tests/store_reader_count.rs
+++ b/crates/sassafrasproxy-core/tests/store_reader_count.rs
@@ -8,8 +8,8 @@
 use nodes::{Fleet, SECOND_US, node_index};
 use sassafrasproxy_core::SyncSource;
 
-/// The maximum number of nodes that may read the store while peers fail: in each of six failure
-/// domains, as many as watch it without failures.
+/// The maximum number of nodes that may read the store while peers fail: four in each of six
+/// failure domains.
 const MAX_READERS: usize = 24;
 
 /// Guards against calls to the store whose number grows with the fleet: those of watchers, of nodes
--- a/crates/sassafrasproxy-core/tests/store_sync.rs
+++ b/crates/sassafrasproxy-core/tests/store_sync.rs
@@ -104,10 +104,10 @@
 }
 
 /// Guards against callers that get outdated routes because all watches hang. The store accepts all
-/// nodes' watches while it is down and never answers them. It recovers two seconds later and
-/// acknowledges a configuration, which must be active five seconds later. By then each node must
-/// have timed out its watch, although neither its connection nor any peer shows a failure. With a
-/// watch timeout of 10 s, callers of 64 nodes get the old routes for ten seconds.
+/// nodes' watches while it is down and never answers them. It recovers 1.7 s after the watches
+/// start and acknowledges a configuration, which must be active five seconds later. By then each
+/// node must have timed out its watch, although neither its connection nor any peer shows a
+/// failure. With a watch timeout of 10 s, callers of 64 nodes get the old routes for ten seconds.
 #[test]
 fn hung_watch_times_out() {
     const RECOVERY_MS: u64 = 1_700;
