--- a/crates/sassafrasproxy-core/src/forward/registry/catalogue.rs
+++ b/crates/sassafrasproxy-core/src/forward/registry/catalogue.rs
@@ -32,7 +32,7 @@
 pub struct CatalogueReplica {
     /// The entry that the replica registered in the store.
     pub entry: Arc<ReplicaEntry>,
-    /// When this node received the entry, in microseconds of the node's clock.
+    /// The time at which this node received the entry, in microseconds of the node's clock.
     pub received_us: u64,
     /// Whether the replica may get new work.
     pub is_eligible: bool,
--- a/crates/sassafrasproxy-core/src/forward/registry/discovery/known_replica.rs
+++ b/crates/sassafrasproxy-core/src/forward/registry/discovery/known_replica.rs
@@ -16,7 +16,7 @@
     pub entry: Arc<ReplicaEntry>,
     /// The store's revision of the entry.
     pub revision: u64,
-    /// When this node received the entry.
+    /// The time at which this node received the entry.
     pub received_us: u64,
     /// The end of the replica's cold start, as the catalogue reports it.
     pub cold_until_us: u64,
--- a/crates/sassafrasproxy-core/src/forward/registry/gossip/mod.rs
+++ b/crates/sassafrasproxy-core/src/forward/registry/gossip/mod.rs
@@ -28,8 +28,8 @@
 /// The number of datagrams that are sent to probe a member again after a missed probe.
 const RETRY_PROBE_COPIES: usize = 2;
 
-/// The minimum number of suspected members in a failure domain for extra probes of its other
-/// members.
+/// The minimum number of suspected members in a failure domain at which its other members get extra
+/// probes.
 const MIN_DOMAIN_SUSPECTS: usize = 2;
 
 /// The maximum number of extra probes per tick to members of failure domains with at least
@@ -104,7 +104,7 @@
     views_differ: bool,
     /// Whether a member became suspected or leaving and peers were not notified yet.
     has_urgent_changes: bool,
-    /// When peers were last notified of urgent changes.
+    /// The time at which peers were last notified of urgent changes.
     last_urgent_us: u64,
     /// The revision of the store up to which this node has synced.
     store_revision: u64,
--- a/crates/sassafrasproxy-core/src/forward/registry/gossip/policy.rs
+++ b/crates/sassafrasproxy-core/src/forward/registry/gossip/policy.rs
@@ -32,7 +32,7 @@
     pub max_watchers: usize,
     /// The number of nodes that keep a registration in the store, where new nodes find members.
     pub max_registered: usize,
-    /// The delay before a node that knows other nodes registers, in microseconds.
+    /// The delay before a node that has other members registers, in microseconds.
     ///
     /// The node's seeds may already belong to a fleet with enough registrations.
     pub registration_delay_us: u64,
@@ -45,7 +45,7 @@
     /// The wait is bounded because the failure domains that can be lost at once may contain all
     /// larger nodes.
     pub bootstrap_wait_us: u64,
-    /// The time for which a node that knows no other node, or no larger one, looks for one, in
+    /// The time for which a node without another member, or without a larger one, looks for one, in
     /// microseconds.
     pub isolated_wait_us: u64,
 }
--- a/crates/sassafrasproxy-core/src/forward/registry/probe_tracker.rs
+++ b/crates/sassafrasproxy-core/src/forward/registry/probe_tracker.rs
@@ -14,7 +14,7 @@
 
 #[derive(Debug, Clone, Copy, Default)]
 struct Probe {
-    /// When the oldest unanswered probe was sent; `None` once it counted as missed.
+    /// The time at which the oldest unanswered probe was sent; `None` once it counted as missed.
     sent_us: Option<u64>,
     /// The number of probes in a row that were not answered in time.
     missed: u32,
--- a/crates/sassafrasproxy-core/src/forward/registry/rollouts.rs
+++ b/crates/sassafrasproxy-core/src/forward/registry/rollouts.rs
@@ -15,9 +15,9 @@
     pub node: EcoString,
 }
 
-/// The rollout orders and records that a node knows.
+/// The rollout orders and records that a node has received.
 ///
-/// Without a participant, there are no rollouts and all versions of a service are treated alike.
+/// Without a participant, there are no rollouts and all versions of a service are treated the same.
 #[derive(Debug, Default)]
 pub struct RolloutEntries {
     participant: Option<RolloutParticipant>,
--- a/crates/sassafrasproxy-core/tests/gossip.rs
+++ b/crates/sassafrasproxy-core/tests/gossip.rs
@@ -256,9 +256,9 @@
     assert!(from_peers >= 40, "{from_peers} of 56 bootstrap from a peer");
 }
 
-/// Guards against small nodes that wait in vain for a large one, while callers have no better node
-/// to be sent to. If a fleet has only small nodes, or a node knows no other, it must read the store
-/// within a second.
+/// Guards against small nodes that wait for a large one although there is none, while callers can be
+/// sent only to small nodes. In a fleet of small nodes only, each node must read the store within a
+/// second, with or without other members.
 #[test]
 fn bootstrap_without_large_nodes() {
     let mut fleet = Fleet::with_cpu(8, |_| 120);
--- a/crates/sassafrasproxy-core/tests/gossip_traffic.rs
+++ b/crates/sassafrasproxy-core/tests/gossip_traffic.rs
@@ -9,8 +9,8 @@
 /// The maximum number of bytes that a node may send in five idle seconds: 1 KB per second.
 const MAX_IDLE_BYTES: usize = 5 * 1_024;
 
-/// Guards against a startup in which each node contacts every other node, and against heartbeats
-/// that continue to carry updates that all nodes already know.
+/// Guards against a startup in which each node contacts every other node, and against probes
+/// that continue to carry updates that all nodes already have.
 #[test]
 fn startup_and_idle_traffic() {
     for (size, within_ms) in [(8, 3_000), (195, 3_000), (1_000, 10_000)] {
