--- a/crates/sassafrasproxy-cli/src/args.rs
+++ b/crates/sassafrasproxy-cli/src/args.rs
@@ -6,7 +6,7 @@
 use clap::{Arg, ArgAction, Command, value_parser};
 
 /// The address of a node when none is named.
-const DEFAULT_NODE: &str = "127.0.0.1:7001";
+const DEFAULT_NODE_ADDRESS: &str = "127.0.0.1:7001";
 
 /// The whole command line.
 pub fn command() -> Command {
@@ -19,13 +19,13 @@
         .subcommand(
             Command::new("run")
                 .about("Run a node until SIGTERM or SIGINT, then shut down gracefully")
-                .arg(path("settings", "The node's settings file, in YAML").required(true)),
+                .arg(path_option("settings", "The node's settings file, in YAML").required(true)),
         )
         .subcommand(
             Command::new("gateway")
                 .about("Run a gateway for opaque requests until SIGTERM or SIGINT")
                 .arg(
-                    path("settings", "The gateway's settings file, in YAML")
+                    path_option("settings", "The gateway's settings file, in YAML")
                         .env("SASSAFRASPROXY_CONFIG")
                         .required(true),
                 ),
@@ -33,55 +33,55 @@
         .subcommand(
             Command::new("check")
                 .about("Check the service files below some directories")
-                .args([dirs(), json()]),
+                .args([dirs_arg(), json_arg()]),
         )
         .subcommand(
             Command::new("publish")
                 .about("Publish all service files below some directories as the configuration")
-                .args([dirs(), platform(), by(), json()])
-                .arg(number("expect", "The revision that must be in place")),
+                .args([dirs_arg(), platform_arg(), publisher_arg(), json_arg()])
+                .arg(number_option("expect", "The revision that must be in place")),
         )
-        .subcommand(domain())
+        .subcommand(domain_command())
         .subcommand(
             Command::new("status")
                 .about("Show a node's members, homes, replicas and configuration")
-                .args([node(), json()]),
+                .args([node_arg(), json_arg()]),
         )
         .subcommand(
             Command::new("addresses")
                 .about("Show the addresses that callers should use")
-                .args([node(), json()])
-                .arg(text("failure-domain", "The caller's failure domain")),
+                .args([node_arg(), json_arg()])
+                .arg(text_option("failure-domain", "The caller's failure domain")),
         )
-        .subcommand(query())
-        .subcommand(timeline())
+        .subcommand(query_command())
+        .subcommand(timeline_command())
 }
 
-fn domain() -> Command {
+fn domain_command() -> Command {
     let name = Arg::new("name").required(true).value_name("NAME").help("The failure domain's name");
     Command::new("domain")
         .about("Take a failure domain out, bring it back, or list all")
         .subcommand_required(true)
         .subcommand(Command::new("out").about("Give a failure domain no new work").args([
             name.clone(),
-            platform(),
-            by(),
-            json(),
+            platform_arg(),
+            publisher_arg(),
+            json_arg(),
         ]))
         .subcommand(Command::new("in").about("Give a failure domain work again").args([
             name,
-            platform(),
-            by(),
-            json(),
+            platform_arg(),
+            publisher_arg(),
+            json_arg(),
         ]))
         .subcommand(
             Command::new("list")
                 .about("List the failure domains that services declare")
-                .args([platform(), json()]),
+                .args([platform_arg(), json_arg()]),
         )
 }
 
-fn query() -> Command {
+fn query_command() -> Command {
     Command::new("query")
         .about("Send a query and print its answer with what it covers")
         .arg(
@@ -92,11 +92,11 @@
                 .value_name("SERVICE")
                 .help("The services to ask, all of one index"),
         )
-        .args([node(), json()])
-        .arg(text("kind", "The kind of request").default_value("search"))
-        .arg(text("body", "The body, as JSON").default_value("{}"))
-        .arg(text("request-id", "The request id; the key of a non-idempotent request"))
-        .arg(number("deadline-ms", "The time that the query may take, in milliseconds"))
+        .args([node_arg(), json_arg()])
+        .arg(text_option("kind", "The kind of request").default_value("search"))
+        .arg(text_option("body", "The body, as JSON").default_value("{}"))
+        .arg(text_option("request-id", "The request id; the key of a non-idempotent request"))
+        .arg(number_option("deadline-ms", "The time that the query may take, in milliseconds"))
         .arg(
             Arg::new("min-coverage")
                 .long("min-coverage")
@@ -106,15 +106,15 @@
         )
 }
 
-fn timeline() -> Command {
+fn timeline_command() -> Command {
     Command::new("timeline")
         .about("Show the events of all nodes in one order")
         .arg(
-            text("nodes", "Nodes to ask, by address; their members are asked too")
+            text_option("nodes", "Nodes to ask, by address; their members are asked too")
                 .value_delimiter(',')
-                .default_value(DEFAULT_NODE),
+                .default_value(DEFAULT_NODE_ADDRESS),
         )
-        .arg(text("request", "Only the events of a request id"))
+        .arg(text_option("request", "Only the events of a request id"))
         .arg(
             Arg::new("logs")
                 .long("logs")
@@ -123,13 +123,13 @@
                 .value_parser(value_parser!(PathBuf))
                 .help("Read the logs of gateways from files instead of asking nodes"),
         )
-        .arg(text("service", "Only the events that name a service"))
-        .arg(text("failure-domain", "Only the events of nodes in a failure domain"))
+        .arg(text_option("service", "Only the events that name a service"))
+        .arg(text_option("failure-domain", "Only the events of nodes in a failure domain"))
         .arg(Arg::new("follow").long("follow").action(ArgAction::SetTrue).help("Go on until ended"))
-        .arg(json())
+        .arg(json_arg())
 }
 
-fn dirs() -> Arg {
+fn dirs_arg() -> Arg {
     Arg::new("dirs")
         .required(true)
         .num_args(1..)
@@ -138,31 +138,31 @@
         .help("Directories with files that end in .sassafras.yaml")
 }
 
-fn platform() -> Arg {
-    text("platform", "The platform's base URL, as http://127.0.0.1:7000").required(true)
+fn platform_arg() -> Arg {
+    text_option("platform", "The platform's base URL, as http://127.0.0.1:7000").required(true)
 }
 
-fn by() -> Arg {
-    text("by", "Who publishes, for those who lose a race")
+fn publisher_arg() -> Arg {
+    text_option("by", "Who publishes, for those who lose a race")
 }
 
-fn node() -> Arg {
-    text("node", "The node to ask, by address").default_value(DEFAULT_NODE)
+fn node_arg() -> Arg {
+    text_option("node", "The node to ask, by address").default_value(DEFAULT_NODE_ADDRESS)
 }
 
-fn json() -> Arg {
+fn json_arg() -> Arg {
     Arg::new("json").long("json").action(ArgAction::SetTrue).help("Print JSON")
 }
 
-fn path(name: &'static str, help: &'static str) -> Arg {
+fn path_option(name: &'static str, help: &'static str) -> Arg {
     option(name, help, "FILE", value_parser!(PathBuf))
 }
 
-fn number(name: &'static str, help: &'static str) -> Arg {
+fn number_option(name: &'static str, help: &'static str) -> Arg {
     option(name, help, "N", value_parser!(u64).into())
 }
 
-fn text(name: &'static str, help: &'static str) -> Arg {
+fn text_option(name: &'static str, help: &'static str) -> Arg {
     option(name, help, "TEXT", value_parser!(String))
 }
 
--- a/crates/sassafrasproxy-cli/src/end.rs
+++ b/crates/sassafrasproxy-cli/src/command_outcome.rs
@@ -4,24 +4,24 @@
 
 /// How a command ends, as its exit code tells.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum End {
+pub enum CommandOutcome {
     /// Done.
     Done,
     /// Refused, with a typed reason printed.
     Refused,
     /// The command line or a file is wrong.
-    Usage,
+    UsageError,
     /// It may or may not have taken effect.
     Unknown,
 }
 
-impl From<End> for ExitCode {
-    fn from(end: End) -> Self {
+impl From<CommandOutcome> for ExitCode {
+    fn from(end: CommandOutcome) -> Self {
         Self::from(match end {
-            End::Done => 0,
-            End::Refused => 1,
-            End::Usage => 2,
-            End::Unknown => 3,
+            CommandOutcome::Done => 0,
+            CommandOutcome::Refused => 1,
+            CommandOutcome::UsageError => 2,
+            CommandOutcome::Unknown => 3,
         })
     }
 }
--- a/crates/sassafrasproxy-cli/src/inspect.rs
+++ b/crates/sassafrasproxy-cli/src/inspect.rs
@@ -9,16 +9,16 @@
 use serde::de::DeserializeOwned;
 use serde_json::json;
 
-use crate::end::End;
+use crate::command_outcome::CommandOutcome;
 
 /// Shows a node's status.
-pub async fn status(matches: &ArgMatches) -> Result<End> {
-    let text = read_text(matches, "/v1/status").await?;
+pub async fn show_status(matches: &ArgMatches) -> Result<CommandOutcome> {
+    let text = fetch_text(matches, "/v1/status").await?;
     if matches.get_flag("json") {
         println!("{text}");
-        return Ok(End::Done);
+        return Ok(CommandOutcome::Done);
     }
-    let status: NodeStatus = parse(&text)?;
+    let status: NodeStatus = parse_response(&text)?;
     let leaving = if status.leaving { ", leaving" } else { "" };
     println!("{} in {}, revision {}{leaving}", status.node, status.failure_domain, status.revision);
     if let Some(rejected) = &status.rejected_revision {
@@ -51,34 +51,34 @@
             replica.queued
         );
     }
-    Ok(End::Done)
+    Ok(CommandOutcome::Done)
 }
 
 /// Shows the addresses that callers should use.
-pub async fn addresses(matches: &ArgMatches) -> Result<End> {
+pub async fn show_addresses(matches: &ArgMatches) -> Result<CommandOutcome> {
     let domain = matches.get_one::<String>("failure-domain");
     let query = domain.map_or_else(String::new, |domain| format!("?failure_domain={domain}"));
-    let text = read_text(matches, &format!("/v1/addresses{query}")).await?;
+    let text = fetch_text(matches, &format!("/v1/addresses{query}")).await?;
     if matches.get_flag("json") {
         println!("{text}");
-        return Ok(End::Done);
+        return Ok(CommandOutcome::Done);
     }
-    let list: AddressList = parse(&text)?;
+    let list: AddressList = parse_response(&text)?;
     for entry in &list.addresses {
         println!("{:<22} {}", entry.address, entry.failure_domain);
     }
     println!("keep for {} ms", list.keep_ms);
-    Ok(End::Done)
+    Ok(CommandOutcome::Done)
 }
 
 /// Sends a query.
-pub async fn query(matches: &ArgMatches) -> Result<End> {
+pub async fn send_query(matches: &ArgMatches) -> Result<CommandOutcome> {
     let body = matches.get_one::<String>("body").map_or("{}", String::as_str);
     let body: serde_json::Value = match serde_json::from_str(body) {
         Ok(body) => body,
         Err(error) => {
             eprintln!("error: --body is no JSON: {error}");
-            return Ok(End::Usage);
+            return Ok(CommandOutcome::UsageError);
         }
     };
     let services: Vec<&String> = matches.get_many("services").into_iter().flatten().collect();
@@ -88,7 +88,7 @@
         "body": body,
         "min_coverage": matches.get_one::<f64>("min-coverage"),
     });
-    let mut call = client()?.post(url(matches, "/v1/query")?).json(&request);
+    let mut call = http_client()?.post(node_url(matches, "/v1/query")?).json(&request);
     if let Some(id) = matches.get_one::<String>("request-id") {
         call = call.header(REQUEST_ID_HEADER, id);
     }
@@ -99,11 +99,11 @@
     let status = response.status();
     let text = response.text().await?;
     if status == StatusCode::OK {
-        let answer: QueryAnswer = parse(&text)?;
+        let answer: QueryAnswer = parse_response(&text)?;
         print_answer(matches, &text, &answer);
-        return Ok(End::Done);
+        return Ok(CommandOutcome::Done);
     }
-    let refusal: Refusal = parse(&text)?;
+    let refusal: Refusal = parse_response(&text)?;
     if matches.get_flag("json") {
         println!("{text}");
     } else {
@@ -113,7 +113,11 @@
             println!("come back after {retry_after_ms} ms");
         }
     }
-    Ok(if refusal.outcome == Outcome::Unknown { End::Unknown } else { End::Refused })
+    Ok(if refusal.outcome == Outcome::Unknown {
+        CommandOutcome::Unknown
+    } else {
+        CommandOutcome::Refused
+    })
 }
 
 fn print_answer(matches: &ArgMatches, text: &str, answer: &QueryAnswer) {
@@ -137,9 +141,9 @@
     }
 }
 
-async fn read_text(matches: &ArgMatches, path: &str) -> Result<String> {
-    let response = client()?
-        .get(url(matches, path)?)
+async fn fetch_text(matches: &ArgMatches, path: &str) -> Result<String> {
+    let response = http_client()?
+        .get(node_url(matches, path)?)
         .send()
         .await
         .wrap_err("the node cannot be reached; name another with --node")?;
@@ -150,15 +154,15 @@
 }
 
 /// A client for calls to nodes.
-pub fn client() -> Result<Client> {
+pub fn http_client() -> Result<Client> {
     Ok(Client::builder().no_proxy().build()?)
 }
 
-fn url(matches: &ArgMatches, path: &str) -> Result<String> {
+fn node_url(matches: &ArgMatches, path: &str) -> Result<String> {
     let node = matches.get_one::<String>("node").ok_or_eyre("--node is missing")?;
     Ok(format!("http://{node}{path}"))
 }
 
-fn parse<T: DeserializeOwned>(text: &str) -> Result<T> {
+fn parse_response<T: DeserializeOwned>(text: &str) -> Result<T> {
     serde_json::from_str(text).wrap_err("the node's answer cannot be read; is it of this version?")
 }
--- a/crates/sassafrasproxy-cli/src/logs.rs
+++ b/crates/sassafrasproxy-cli/src/log_reader.rs
@@ -7,17 +7,17 @@
 use indexmap::IndexSet;
 use serde_json::{Map, Value};
 
-use crate::timeline::clock;
+use crate::timeline::format_time_of_day;
 
 /// How long before a request's first line changes of belief count as part of its story, in
 /// milliseconds: a replica or configuration that decided it may have changed some seconds ago.
-const BEFORE_MS: u64 = 10_000;
+const CONTEXT_BEFORE_MS: u64 = 10_000;
 
 /// And how long after its last line.
-const AFTER_MS: u64 = 500;
+const CONTEXT_AFTER_MS: u64 = 500;
 
 /// The fields that every line shows in a place of their own.
-const COMMON_FIELDS: [&str; 5] = ["wall_ms", "level", "target", "message", "request"];
+const COLUMN_FIELDS: [&str; 5] = ["wall_ms", "level", "target", "message", "request"];
 
 /// One line of a process's log.
 #[derive(Debug, Clone, PartialEq)]
@@ -31,20 +31,20 @@
 }
 
 impl LogLine {
-    fn text(&self, field: &str) -> &str {
+    fn str_field(&self, field: &str) -> &str {
         self.fields.get(field).and_then(Value::as_str).unwrap_or("")
     }
 }
 
 /// Reads the logs of processes and prints the lines that belong to a request, or all.
-pub fn print_story(files: &[&std::path::PathBuf], request: Option<&str>) -> Result<bool> {
+pub fn print_logs(files: &[&std::path::PathBuf], request: Option<&str>) -> Result<bool> {
     let mut lines = Vec::new();
     for file in files {
         let text = std::fs::read_to_string(file)
             .wrap_err_with(|| format!("{} cannot be read", file.display()))?;
-        lines.extend(parse(file, &text));
+        lines.extend(parse_lines(file, &text));
     }
-    let story = story(lines, request);
+    let story = select_lines(lines, request);
     for line in &story {
         print_line(line);
     }
@@ -52,7 +52,7 @@
 }
 
 /// The lines of a file; what is no log line is passed over, as other programs may write there.
-pub fn parse(file: &Path, text: &str) -> Vec<LogLine> {
+pub fn parse_lines(file: &Path, text: &str) -> Vec<LogLine> {
     let mut node: EcoString = file.file_stem().unwrap_or_default().to_string_lossy().into();
     let mut lines = Vec::new();
     for line in text.lines() {
@@ -71,23 +71,26 @@
 }
 
 /// The lines of a request in order, with the changes of belief around it on its nodes.
-pub fn story(mut lines: Vec<LogLine>, request: Option<&str>) -> Vec<LogLine> {
+pub fn select_lines(mut lines: Vec<LogLine>, request: Option<&str>) -> Vec<LogLine> {
     lines.sort_by_key(|line| line.wall_ms);
     let Some(request) = request else { return lines };
-    let own: Vec<&LogLine> = lines.iter().filter(|line| line.text("request") == request).collect();
+    let own: Vec<&LogLine> =
+        lines.iter().filter(|line| line.str_field("request") == request).collect();
     let Some((first, last)) = own.first().zip(own.last()) else { return Vec::new() };
-    let span = first.wall_ms.saturating_sub(BEFORE_MS)..=last.wall_ms + AFTER_MS;
+    let span = first.wall_ms.saturating_sub(CONTEXT_BEFORE_MS)..=last.wall_ms + CONTEXT_AFTER_MS;
     let nodes: IndexSet<EcoString> = own.iter().map(|line| line.node.clone()).collect();
     let named: Vec<String> = own
         .iter()
-        .flat_map(|line| [line.text("replica").to_owned(), line.text("shards").to_owned()])
+        .flat_map(|line| {
+            [line.str_field("replica").to_owned(), line.str_field("shards").to_owned()]
+        })
         .filter(|name| !name.is_empty())
         .collect();
     let belongs = |line: &LogLine| {
         if line.fields.contains_key("request") {
-            return line.text("request") == request;
+            return line.str_field("request") == request;
         }
-        let replica = line.text("replica");
+        let replica = line.str_field("replica");
         let is_named = replica.is_empty() || named.iter().any(|name| name.contains(replica));
         is_named && nodes.contains(&line.node) && span.contains(&line.wall_ms)
     };
@@ -99,16 +102,16 @@
     let details: Vec<String> = line
         .fields
         .iter()
-        .filter(|(key, _)| !COMMON_FIELDS.contains(&key.as_str()))
+        .filter(|(key, _)| !COLUMN_FIELDS.contains(&key.as_str()))
         .map(|(key, value)| format!("{key}={}", value.to_string().trim_matches('"')))
         .collect();
-    let request = line.text("request");
+    let request = line.str_field("request");
     let request = if request.is_empty() { String::new() } else { format!(" [{request}]") };
     println!(
         "{} {:<20} {:<28} {}{request}",
-        clock(line.wall_ms),
+        format_time_of_day(line.wall_ms),
         line.node,
-        line.text("message"),
+        line.str_field("message"),
         details.join(" ")
     );
 }
--- a/crates/sassafrasproxy-cli/src/logging.rs
+++ b/crates/sassafrasproxy-cli/src/logging.rs
@@ -15,7 +15,7 @@
 /// How many lines may wait to be written; further ones are dropped and counted.
 ///
 /// At 150 bytes a line this is 300 KB, and some seconds of a busy node.
-const MAX_WAITING: usize = 2_048;
+const MAX_QUEUED_LINES: usize = 2_048;
 
 /// The most bytes of one write, but for a longer line: what a pipe takes whole, so that the lines
 /// of processes that share one do not mix.
@@ -26,10 +26,10 @@
 
 /// How long the end of the process waits for the last lines, so that a reader that stalls does not
 /// hold it up.
-const FINISH_LIMIT: Duration = Duration::from_millis(200);
+const FINISH_TIMEOUT: Duration = Duration::from_millis(200);
 
 /// Lines that were dropped and not yet told of.
-static DROPPED: AtomicU64 = AtomicU64::new(0);
+static DROPPED_LINES: AtomicU64 = AtomicU64::new(0);
 
 /// Where logs go.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -45,33 +45,33 @@
 /// Guards against the loss of a process's last lines, its stop among them: they wait for the next
 /// write, and the process would end before it.
 #[derive(Debug)]
-pub enum LogEnd {
+pub enum LogHandle {
     /// Nothing waits.
-    Written,
+    Unbuffered,
     /// A thread writes what waits.
-    Waiting {
+    Buffered {
         /// Dropped to say that no further line comes.
-        more: Sender<()>,
+        shutdown: Sender<()>,
         /// Closed once all is written.
         done: Receiver<()>,
     },
 }
 
-impl LogEnd {
+impl LogHandle {
     /// Has the last lines written, or gives up after a moment.
     pub fn finish(self) {
-        let Self::Waiting { more, done } = self else { return };
+        let Self::Buffered { shutdown: more, done } = self else { return };
         drop(more);
         // A reader that stalls costs the last lines.
-        let _ = done.recv_timeout(FINISH_LIMIT);
+        let _ = done.recv_timeout(FINISH_TIMEOUT);
     }
 }
 
 /// Starts logging; `RUST_LOG` sets the level, `info` if absent.
-pub fn start(output: LogOutput) -> io::Result<LogEnd> {
+pub fn start(output: LogOutput) -> io::Result<LogHandle> {
     let mut builder = Builder::from_env(Env::default().default_filter_or("info"));
     let end = match output {
-        LogOutput::Stderr => LogEnd::Written,
+        LogOutput::Stderr => LogHandle::Unbuffered,
         LogOutput::Stdout => {
             let (queue, end) = LineQueue::start()?;
             builder.target(Target::Pipe(Box::new(queue)));
@@ -122,22 +122,22 @@
 }
 
 impl LineQueue {
-    fn start() -> io::Result<(Self, LogEnd)> {
-        let (lines, waiting) = sync_channel(MAX_WAITING);
+    fn start() -> io::Result<(Self, LogHandle)> {
+        let (lines, waiting) = sync_channel(MAX_QUEUED_LINES);
         let (more, has_more) = channel();
         let (writing, done) = channel();
         std::thread::Builder::new().name("logs".into()).spawn(move || {
-            write_lines(&waiting, &has_more);
+            run_writer(&waiting, &has_more);
             drop(writing);
         })?;
-        Ok((Self { lines }, LogEnd::Waiting { more, done }))
+        Ok((Self { lines }, LogHandle::Buffered { shutdown: more, done }))
     }
 }
 
 impl Write for LineQueue {
     fn write(&mut self, line: &[u8]) -> io::Result<usize> {
         if self.lines.try_send(line.to_vec()).is_err() {
-            DROPPED.fetch_add(1, Ordering::Relaxed);
+            DROPPED_LINES.fetch_add(1, Ordering::Relaxed);
         }
         Ok(line.len())
     }
@@ -148,27 +148,27 @@
 }
 
 /// Writes what waits, some times a second, until no further line comes.
-fn write_lines(waiting: &Receiver<Vec<u8>>, has_more: &Receiver<()>) {
+fn run_writer(waiting: &Receiver<Vec<u8>>, has_more: &Receiver<()>) {
     while let Ok(first) = waiting.recv() {
-        if write_waiting(first, waiting).is_err() {
+        if write_queued(first, waiting).is_err() {
             // Nobody reads: there is no other place to say so.
             return;
         }
         if has_more.recv_timeout(WRITE_INTERVAL) == Err(RecvTimeoutError::Disconnected) {
             // The same holds here.
-            let _ = write_waiting(Vec::new(), waiting);
+            let _ = write_queued(Vec::new(), waiting);
             return;
         }
     }
 }
 
 /// Writes a line and all that wait behind it.
-fn write_waiting(first: Vec<u8>, waiting: &Receiver<Vec<u8>>) -> io::Result<()> {
+fn write_queued(first: Vec<u8>, waiting: &Receiver<Vec<u8>>) -> io::Result<()> {
     let mut batch = first;
     for line in waiting.try_iter() {
         batch.extend_from_slice(&line);
     }
-    let dropped = DROPPED.swap(0, Ordering::Relaxed);
+    let dropped = DROPPED_LINES.swap(0, Ordering::Relaxed);
     if dropped > 0 {
         let line = json!({ "level": "WARN", "target": "logs", "dropped_lines": dropped });
         batch.extend_from_slice(format!("{line}\n").as_bytes());
--- a/crates/sassafrasproxy-cli/src/main.rs
+++ b/crates/sassafrasproxy-cli/src/main.rs
@@ -1,11 +1,11 @@
 //! The command line: a node to run, and the operators' client.
 
 mod args;
-mod end;
+mod command_outcome;
 mod gateway;
 mod inspect;
+mod log_reader;
 mod logging;
-mod logs;
 mod publishing;
 mod run;
 mod timeline;
@@ -14,7 +14,7 @@
 
 use clap::ArgMatches;
 
-use crate::end::End;
+use crate::command_outcome::CommandOutcome;
 use crate::logging::LogOutput;
 
 fn main() -> ExitCode {
@@ -24,36 +24,36 @@
     }
     if let Err(error) = logging::start(LogOutput::Stderr) {
         eprintln!("cannot start: {error}");
-        return End::Refused.into();
+        return CommandOutcome::Refused.into();
     }
     let runtime = match tokio::runtime::Builder::new_multi_thread().enable_all().build() {
         Ok(runtime) => runtime,
         Err(error) => {
             eprintln!("cannot start: {error}");
-            return End::Refused.into();
+            return CommandOutcome::Refused.into();
         }
     };
     match runtime.block_on(dispatch(&matches)) {
         Ok(end) => end.into(),
         Err(report) => {
             eprintln!("error: {report:#}");
-            End::Refused.into()
+            CommandOutcome::Refused.into()
         }
     }
 }
 
 /// Runs the command that was named.
-async fn dispatch(matches: &ArgMatches) -> eyre::Result<End> {
+async fn dispatch(matches: &ArgMatches) -> eyre::Result<CommandOutcome> {
     match matches.subcommand() {
         Some(("run", matches)) => run::run(matches).await,
-        Some(("check", matches)) => publishing::check(matches),
+        Some(("check", matches)) => publishing::check_services(matches),
         Some(("publish", matches)) => publishing::publish_services(matches).await,
-        Some(("domain", matches)) => publishing::domain(matches).await,
-        Some(("status", matches)) => inspect::status(matches).await,
-        Some(("addresses", matches)) => inspect::addresses(matches).await,
-        Some(("query", matches)) => inspect::query(matches).await,
-        Some(("timeline", matches)) => timeline::timeline(matches).await,
+        Some(("domain", matches)) => publishing::dispatch_domain(matches).await,
+        Some(("status", matches)) => inspect::show_status(matches).await,
+        Some(("addresses", matches)) => inspect::show_addresses(matches).await,
+        Some(("query", matches)) => inspect::send_query(matches).await,
+        Some(("timeline", matches)) => timeline::show_timeline(matches).await,
         // clap has refused every other word already.
-        _ => Ok(End::Usage),
+        _ => Ok(CommandOutcome::UsageError),
     }
 }
--- a/crates/sassafrasproxy-cli/src/run.rs
+++ b/crates/sassafrasproxy-cli/src/run.rs
@@ -4,21 +4,21 @@
 
 use clap::ArgMatches;
 use eyre::{OptionExt, Result};
-use sassafrasproxy_config::Settings;
+use sassafrasproxy_config::NodeSettings;
 use sassafrasproxy_node::{Node, Tuning};
 use serde_json::json;
 use tokio::signal::unix::{SignalKind, signal};
 
-use crate::end::End;
+use crate::command_outcome::CommandOutcome;
 
 /// Runs a node; prints its addresses as one JSON line once it listens.
-pub async fn run(matches: &ArgMatches) -> Result<End> {
+pub async fn run(matches: &ArgMatches) -> Result<CommandOutcome> {
     let path = matches.get_one::<PathBuf>("settings").ok_or_eyre("--settings is missing")?;
-    let settings = match Settings::load(path) {
+    let settings = match NodeSettings::load(path) {
         Ok(settings) => settings,
         Err(problem) => {
             eprintln!("error: {problem}");
-            return Ok(End::Usage);
+            return Ok(CommandOutcome::UsageError);
         }
     };
     let mut terminate = signal(SignalKind::terminate())?;
@@ -33,5 +33,5 @@
         _ = interrupt.recv() => {}
     }
     node.shut_down().await;
-    Ok(End::Done)
+    Ok(CommandOutcome::Done)
 }
--- a/crates/sassafrasproxy-cli/src/timeline.rs
+++ b/crates/sassafrasproxy-cli/src/timeline.rs
@@ -8,41 +8,41 @@
 use eyre::Result;
 use indexmap::{IndexMap, IndexSet};
 use reqwest::Client;
-use sassafrasproxy_wire::{Event, NodeStatus};
+use sassafrasproxy_wire::{NodeStatus, TimelineEvent};
 use serde_json::Value;
 
-use crate::end::End;
-use crate::inspect::client;
-use crate::logs;
+use crate::command_outcome::CommandOutcome;
+use crate::inspect::http_client;
+use crate::log_reader;
 
 /// The time between two readings while following.
-const FOLLOW_INTERVAL: Duration = Duration::from_millis(500);
+const FOLLOW_POLL_INTERVAL: Duration = Duration::from_millis(500);
 
 /// How long one node may take to answer.
 const READ_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// The fields of an event that every line shows in a place of their own.
-const COMMON_FIELDS: [&str; 6] =
+const COLUMN_FIELDS: [&str; 6] =
     ["hlc", "sequence", "node", "failure_domain", "request_id", "event"];
 
 /// Which events to show.
-struct Filter {
-    request: Option<String>,
+struct EventFilter {
+    request_id: Option<String>,
     service: Option<String>,
     failure_domain: Option<String>,
 }
 
 /// Shows the events of all nodes that the named ones know.
-pub async fn timeline(matches: &ArgMatches) -> Result<End> {
+pub async fn show_timeline(matches: &ArgMatches) -> Result<CommandOutcome> {
     let files: Vec<&PathBuf> = matches.get_many::<PathBuf>("logs").into_iter().flatten().collect();
     if !files.is_empty() {
         let request = matches.get_one::<String>("request").map(String::as_str);
-        let is_found = logs::print_story(&files, request)?;
-        return Ok(if is_found { End::Done } else { End::Refused });
+        let is_found = log_reader::print_logs(&files, request)?;
+        return Ok(if is_found { CommandOutcome::Done } else { CommandOutcome::Refused });
     }
-    let client = client()?;
-    let filter = Filter {
-        request: matches.get_one::<String>("request").cloned(),
+    let client = http_client()?;
+    let filter = EventFilter {
+        request_id: matches.get_one::<String>("request").cloned(),
         service: matches.get_one::<String>("service").cloned(),
         failure_domain: matches.get_one::<String>("failure-domain").cloned(),
     };
@@ -52,12 +52,12 @@
         let mut nodes: IndexSet<EcoString> = IndexSet::new();
         for node in &named {
             nodes.insert(node.as_str().into());
-            nodes.extend(members(&client, node).await);
+            nodes.extend(fetch_member_addresses(&client, node).await);
         }
         let mut events = Vec::new();
         for node in &nodes {
             let after = seen.entry(node.clone()).or_default();
-            let read = read_events(&client, node, *after).await;
+            let read = fetch_events(&client, node, *after).await;
             *after = read.last().map_or(*after, |event| event.sequence);
             events.extend(read);
         }
@@ -67,14 +67,14 @@
         }
         if !matches.get_flag("follow") {
             let is_heard = seen.values().any(|after| *after > 0);
-            return Ok(if is_heard { End::Done } else { End::Refused });
+            return Ok(if is_heard { CommandOutcome::Done } else { CommandOutcome::Refused });
         }
-        tokio::time::sleep(FOLLOW_INTERVAL).await;
+        tokio::time::sleep(FOLLOW_POLL_INTERVAL).await;
     }
 }
 
 /// The addresses of a node's members.
-async fn members(client: &Client, node: &str) -> Vec<EcoString> {
+async fn fetch_member_addresses(client: &Client, node: &str) -> Vec<EcoString> {
     let url = format!("http://{node}/v1/status");
     let Ok(response) = client.get(url).timeout(READ_TIMEOUT).send().await else {
         eprintln!("{node} cannot be reached");
@@ -85,7 +85,7 @@
     members.map(|member| member.address).collect()
 }
 
-async fn read_events(client: &Client, node: &str, after: u64) -> Vec<Event> {
+async fn fetch_events(client: &Client, node: &str, after: u64) -> Vec<TimelineEvent> {
     let url = format!("http://{node}/v1/timeline?after={after}");
     match client.get(url).timeout(READ_TIMEOUT).send().await {
         Ok(response) => response.json().await.unwrap_or_default(),
@@ -93,28 +93,30 @@
     }
 }
 
-impl Filter {
-    fn allows(&self, event: &Event) -> bool {
-        let is_request = self.request.as_ref().is_none_or(|wanted| {
+impl EventFilter {
+    fn allows(&self, event: &TimelineEvent) -> bool {
+        let is_request = self.request_id.as_ref().is_none_or(|wanted| {
             event.request_id.as_ref().is_some_and(|id| id.as_str() == wanted.as_str())
         });
         let is_domain = self
             .failure_domain
             .as_ref()
             .is_none_or(|wanted| event.failure_domain.as_str() == wanted.as_str());
-        is_request && is_domain && self.service.as_ref().is_none_or(|name| names(event, name))
+        is_request
+            && is_domain
+            && self.service.as_ref().is_none_or(|name| mentions_service(event, name))
     }
 }
 
 /// Whether a field of an event names a service or one of its shards or groups.
-fn names(event: &Event, service: &str) -> bool {
+fn mentions_service(event: &TimelineEvent, service: &str) -> bool {
     let Ok(Value::Object(fields)) = serde_json::to_value(&event.kind) else { return false };
     let is_of = |text: &str| text.split('/').next() == Some(service);
     fields.values().filter_map(Value::as_str).any(is_of)
 }
 
 /// Prints an event as JSON or as a line with one column for each common field.
-fn print_event(event: &Event, is_json: bool) {
+fn print_event(event: &TimelineEvent, is_json: bool) {
     let Ok(Value::Object(fields)) = serde_json::to_value(event) else { return };
     if is_json {
         println!("{}", Value::Object(fields));
@@ -123,13 +125,13 @@
     let name = fields.get("event").and_then(Value::as_str).unwrap_or("");
     let details: Vec<String> = fields
         .iter()
-        .filter(|(key, _)| !COMMON_FIELDS.contains(&key.as_str()))
+        .filter(|(key, _)| !COLUMN_FIELDS.contains(&key.as_str()))
         .map(|(key, value)| format!("{key}={}", value.to_string().trim_matches('"')))
         .collect();
     let request = event.request_id.as_deref().map_or_else(String::new, |id| format!(" [{id}]"));
     println!(
         "{} {:<8} {:<12} {name:<22} {}{request}",
-        clock(event.hlc.wall_ms),
+        format_time_of_day(event.hlc.wall_ms),
         event.node,
         event.failure_domain,
         details.join(" ")
@@ -137,7 +139,7 @@
 }
 
 /// The time of day of a wall time, in UTC.
-pub fn clock(wall_ms: u64) -> String {
+pub fn format_time_of_day(wall_ms: u64) -> String {
     let second = wall_ms / 1_000;
     let (hour, minute) = (second / 3_600 % 24, second / 60 % 60);
     format!("{hour:02}:{minute:02}:{:02}.{:03}", second % 60, wall_ms % 1_000)
--- a/crates/sassafrasproxy-cli/tests/true_answers.rs
+++ b/crates/sassafrasproxy-cli/tests/answer_correctness.rs
@@ -10,22 +10,22 @@
 use sassafrasproxy_standin::{UpstreamFault, shard_names};
 use sassafrasproxy_wire::{HeldSnapshot, QueryAnswer};
 use serde_json::{Value, json};
-use support::{System, ask, ask_until_full};
+use support::{Cluster, search_until_complete, send_query};
 
 const SERVICES: [&str; 2] = ["art-archive", "counter-desk"];
 
-async fn start() -> System {
-    let system = System::start(2).await;
+async fn start_cluster() -> Cluster {
+    let system = Cluster::start(2).await;
     for node in &system.nodes {
-        ask_until_full(node.address(), &SERVICES).await;
+        search_until_complete(node.address(), &SERVICES).await;
     }
     system
 }
 
 /// Sends one search with a text of its own and checks all that must hold of any answer.
-async fn check_one(node: SocketAddr, text: &str) -> Option<QueryAnswer> {
+async fn send_checked_search(node: SocketAddr, text: &str) -> Option<QueryAnswer> {
     let request = json!({ "services": SERVICES, "kind": "search", "body": { "text": text } });
-    let answer = ask(node, request.to_string(), &[]).await.ok()?;
+    let answer = send_query(node, request.to_string(), &[]).await.ok()?;
     let shards: Vec<_> = answer.results.iter().map(|result| result.shard.clone()).collect();
     assert_eq!(shards, answer.coverage.covered, "the coverage is what is there");
     for result in &answer.results {
@@ -38,10 +38,10 @@
 }
 
 /// Sends searches for a while; returns how many were answered in full, and how many sent.
-async fn check_for(node: SocketAddr, count: usize) -> (usize, usize) {
+async fn send_checked_searches(node: SocketAddr, count: usize) -> (usize, usize) {
     let mut full = 0;
     for number in 0..count {
-        if let Some(answer) = check_one(node, &format!("verse {number}")).await {
+        if let Some(answer) = send_checked_search(node, &format!("verse {number}")).await {
             full += usize::from(answer.coverage.missing.is_empty());
         }
     }
@@ -51,7 +51,7 @@
 // Answers come crossed, cut off in the middle, shed, or not at all. Each must be repeated on
 // another replica or be missing with a reason; none may reach a caller.
 #[tokio::test(flavor = "multi_thread")]
-async fn bad_answers() {
+async fn faulty_upstream_answers() {
     let faults: [(&str, UpstreamFault, UpstreamFault); 4] = [
         ("crossed", UpstreamFault::CrossAnswers(true), UpstreamFault::CrossAnswers(false)),
         ("truncated", UpstreamFault::Truncate(true), UpstreamFault::Truncate(false)),
@@ -59,14 +59,14 @@
         ("crash", UpstreamFault::Crash { down_ms: 200 }, UpstreamFault::TurnCold),
     ];
     for (name, on, off) in faults {
-        let system = start().await;
+        let system = start_cluster().await;
         let node = system.nodes[0].address();
-        system.upstreams[0].1.switch(on);
-        let (full, sent) = check_for(node, 40).await;
+        system.upstreams[0].1.apply_fault(on);
+        let (full, sent) = send_checked_searches(node, 40).await;
         println!("{name}: {full} of {sent} in full");
         assert!(full > 0, "{name}");
-        system.upstreams[0].1.switch(off);
-        ask_until_full(node, &SERVICES).await;
+        system.upstreams[0].1.apply_fault(off);
+        search_until_complete(node, &SERVICES).await;
     }
 }
 
@@ -74,29 +74,29 @@
 // runs. Its sibling is sound, so callers must get whole answers: the budget for second sends,
 // which covers the first few, must not be spent on that replica for good.
 #[tokio::test(flavor = "multi_thread")]
-async fn crossed_for_long() {
-    let system = start().await;
-    system.upstreams[0].1.switch(UpstreamFault::CrossAnswers(true));
-    let (full, sent) = check_for(system.nodes[0].address(), 300).await;
+async fn persistently_mismatched_answers() {
+    let system = start_cluster().await;
+    system.upstreams[0].1.apply_fault(UpstreamFault::CrossAnswers(true));
+    let (full, sent) = send_checked_searches(system.nodes[0].address(), 300).await;
     println!("{full} of {sent} in full");
     assert!(full * 10 > sent * 9, "{full} of {sent}");
 }
 
 // Something in between forgets every open connection, under load. Nobody may wait for good.
 #[tokio::test(flavor = "multi_thread")]
-async fn silent_connections() {
-    let system = start().await;
+async fn stalled_connections() {
+    let system = start_cluster().await;
     let node = system.nodes[0].address();
-    check_for(node, 20).await;
+    send_checked_searches(node, 20).await;
     for (_, upstream) in &system.upstreams {
-        upstream.switch(UpstreamFault::SilenceConnections);
+        upstream.apply_fault(UpstreamFault::SilenceConnections);
     }
-    let (full, sent) = check_for(node, 20).await;
+    let (full, sent) = send_checked_searches(node, 20).await;
     assert_eq!(full, sent, "each was sent again on a new connection");
 }
 
 /// A snapshot with every shard of a layout.
-fn held(id: u64, shards: usize) -> HeldSnapshot {
+fn complete_snapshot(id: u64, shards: usize) -> HeldSnapshot {
     HeldSnapshot { id, shards: shard_names(shards), layout: shard_names(shards) }
 }
 
@@ -104,43 +104,49 @@
 // by one, while searches run. Every answer must come from one of the two.
 #[tokio::test(flavor = "multi_thread")]
 async fn rolling_snapshots() {
-    let system = start().await;
+    let system = start_cluster().await;
     let shards = |service: &str| if service == "art-archive" { 2 } else { 1 };
     let node = system.nodes[1].address();
     let roll = async {
         for (service, upstream) in &system.upstreams {
-            let both = vec![held(7, shards(service)), held(8, shards(service))];
-            upstream.switch(UpstreamFault::Hold(both));
+            let both =
+                vec![complete_snapshot(7, shards(service)), complete_snapshot(8, shards(service))];
+            upstream.apply_fault(UpstreamFault::Hold(both));
             tokio::time::sleep(Duration::from_millis(150)).await;
         }
         // Statuses lag: the old one goes before everyone has read of the new one.
         for (service, upstream) in &system.upstreams {
-            upstream.switch(UpstreamFault::Hold(vec![held(8, shards(service))]));
+            upstream.apply_fault(UpstreamFault::Hold(vec![complete_snapshot(8, shards(service))]));
             tokio::time::sleep(Duration::from_millis(150)).await;
         }
     };
-    let ((full, sent), ()) = tokio::join!(check_for(node, 150), roll);
+    let ((full, sent), ()) = tokio::join!(send_checked_searches(node, 150), roll);
     println!("{full} of {sent} in full during the roll");
-    let answer = ask_until_full(node, &SERVICES).await;
+    let answer = search_until_complete(node, &SERVICES).await;
     assert_eq!(answer.snapshot, 8);
 }
 
 // A service is split from 2 shards into 4 under load. No range may be missing or doubled without
 // being said: every answer covers one layout or names what is missing of it.
 #[tokio::test(flavor = "multi_thread")]
-async fn repartition() {
-    let system = start().await;
+async fn resharding() {
+    let system = start_cluster().await;
     let node = system.nodes[0].address();
     let layouts = [2, 4];
     let split = async {
         for upstream in system.upstreams.iter().filter(|(name, _)| name == "art-archive") {
-            upstream.1.switch(UpstreamFault::Hold(vec![held(7, 2), held(8, 4)]));
+            upstream.1.apply_fault(UpstreamFault::Hold(vec![
+                complete_snapshot(7, 2),
+                complete_snapshot(8, 4),
+            ]));
             tokio::time::sleep(Duration::from_millis(200)).await;
         }
     };
     let check = async {
         for number in 0..80 {
-            let Some(answer) = check_one(node, &format!("verse {number}")).await else { continue };
+            let Some(answer) = send_checked_search(node, &format!("verse {number}")).await else {
+                continue;
+            };
             let missing = answer.coverage.missing.iter().map(|missing| &missing.shard);
             let named = answer.coverage.covered.iter().chain(missing);
             let count = named.filter(|shard| shard.service == "art-archive").count();
@@ -149,7 +155,7 @@
         }
     };
     tokio::join!(check, split);
-    let answer = ask_until_full(node, &["art-archive"]).await;
+    let answer = search_until_complete(node, &["art-archive"]).await;
     assert_eq!((answer.snapshot, answer.results.len()), (8, 4));
 }
 
@@ -157,18 +163,18 @@
 // all nodes. At most two replicas may die, and others' searches go on.
 #[tokio::test(flavor = "multi_thread")]
 async fn poison_request() {
-    let system = start().await;
+    let system = start_cluster().await;
     for (_, upstream) in &system.upstreams {
-        upstream.switch(UpstreamFault::CrashOn(Some("kill".into())));
+        upstream.apply_fault(UpstreamFault::CrashOn(Some("kill".into())));
     }
     let poison = json!({ "services": ["counter-desk"], "kind": "search", "body": "kill" });
     for number in 0..30 {
         let node = system.nodes[number % 2].address();
-        let _ = ask(node, poison.to_string(), &[]).await;
+        let _ = send_query(node, poison.to_string(), &[]).await;
     }
-    let deaths: u32 = system.upstreams.iter().map(|(_, upstream)| upstream.deaths()).sum();
+    let deaths: u32 = system.upstreams.iter().map(|(_, upstream)| upstream.crash_count()).sum();
     assert!((1..=2).contains(&deaths), "{deaths} died");
     for node in &system.nodes {
-        ask_until_full(node.address(), &SERVICES).await;
+        search_until_complete(node.address(), &SERVICES).await;
     }
 }
--- a/crates/sassafrasproxy-cli/tests/at_most_once.rs
+++ b/crates/sassafrasproxy-cli/tests/at_most_once.rs
@@ -8,20 +8,24 @@
 use std::time::Duration;
 
 use indexmap::IndexMap;
-use sassafrasproxy_standin::{Outage, PlatformFaults, Straggle, UpstreamFault};
-use sassafrasproxy_wire::{Outcome, QueryAnswer, Reason, Refusal};
+use sassafrasproxy_standin::{Outage, PlatformFaults, Stragglers, UpstreamFault};
+use sassafrasproxy_wire::{FailureReason, Outcome, QueryAnswer, Refusal};
 use serde_json::json;
-use support::{System, ask, ask_until_full};
+use support::{Cluster, search_until_complete, send_query};
 use tokio::task::JoinSet;
 
 /// Sends a reorder under a key.
-async fn reorder(node: SocketAddr, key: &str, body: &str) -> Result<QueryAnswer, (u16, Refusal)> {
+async fn send_reorder(
+    node: SocketAddr,
+    key: &str,
+    body: &str,
+) -> Result<QueryAnswer, (u16, Refusal)> {
     let request = json!({ "services": ["counter-desk"], "kind": "reorder", "body": body });
-    ask(node, request.to_string(), &[("x-request-id", key)]).await
+    send_query(node, request.to_string(), &[("x-request-id", key)]).await
 }
 
 /// How often upstreams began to run each reorder, by its body.
-fn runs(system: &System) -> IndexMap<String, usize> {
+fn run_counts(system: &Cluster) -> IndexMap<String, usize> {
     let mut counts = IndexMap::new();
     let runs = system.upstreams.iter().flat_map(|(_, upstream)| upstream.runs());
     for run in runs.filter(|run| run.kind == "reorder") {
@@ -30,88 +34,88 @@
     counts
 }
 
-async fn start(nodes: usize) -> System {
-    let system = System::start(nodes).await;
+async fn start_cluster(nodes: usize) -> Cluster {
+    let system = Cluster::start(nodes).await;
     for node in &system.nodes {
-        ask_until_full(node.address(), &["counter-desk"]).await;
+        search_until_complete(node.address(), &["counter-desk"]).await;
     }
     system
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn repeat_elsewhere() {
-    let system = start(2).await;
+async fn repeat_through_another_node() {
+    let system = start_cluster(2).await;
     let (first, other) = (system.nodes[0].address(), system.nodes[1].address());
-    let answer = reorder(first, "order-1", "100 cards").await.unwrap();
+    let answer = send_reorder(first, "order-1", "100 cards").await.unwrap();
     let repeat = loop {
         // What became of the order is recorded just after its answer went out.
-        match reorder(other, "order-1", "100 cards").await {
+        match send_reorder(other, "order-1", "100 cards").await {
             Ok(repeat) => break repeat,
-            Err((_, refusal)) => assert_eq!(refusal.reason, Reason::KeyUsed),
+            Err((_, refusal)) => assert_eq!(refusal.reason, FailureReason::KeyUsed),
         }
         tokio::time::sleep(Duration::from_millis(20)).await;
     };
     assert_eq!(repeat.results[0].body.get(), answer.results[0].body.get());
-    let (status, refusal) = reorder(other, "order-1", "200 cards").await.unwrap_err();
-    assert_eq!((status, refusal.reason), (409, Reason::KeyReused));
-    assert_eq!(runs(&system).into_values().collect::<Vec<_>>(), [1]);
+    let (status, refusal) = send_reorder(other, "order-1", "200 cards").await.unwrap_err();
+    assert_eq!((status, refusal.reason), (409, FailureReason::KeyReused));
+    assert_eq!(run_counts(&system).into_values().collect::<Vec<_>>(), [1]);
 }
 
 // The platform's store is away. Staff must hear at once that the order did not run, so that they
 // can try later; it must not hang, and must not run.
 #[tokio::test(flavor = "multi_thread")]
-async fn store_away() {
-    let system = start(2).await;
+async fn store_unavailable() {
+    let system = start_cluster(2).await;
     let node = system.nodes[0].address();
-    reorder(node, "order-0", "0 cards").await.unwrap();
+    send_reorder(node, "order-0", "0 cards").await.unwrap();
     let outage = Some(Outage::Fail);
     system.platform.set_faults(PlatformFaults { outage, ..PlatformFaults::default() });
-    let (status, refusal) = reorder(node, "order-1", "1 cards").await.unwrap_err();
-    assert_eq!((status, refusal.reason), (503, Reason::ClaimUnavailable));
+    let (status, refusal) = send_reorder(node, "order-1", "1 cards").await.unwrap_err();
+    assert_eq!((status, refusal.reason), (503, FailureReason::ClaimUnavailable));
     assert_eq!(refusal.outcome, Outcome::NotRun);
     assert!(refusal.retry_after_ms.is_some());
-    ask_until_full(node, &["counter-desk"]).await;
+    search_until_complete(node, &["counter-desk"]).await;
     system.platform.set_faults(PlatformFaults::default());
-    assert_eq!(runs(&system).len(), 1);
-    while reorder(node, "order-1", "1 cards").await.is_err() {
+    assert_eq!(run_counts(&system).len(), 1);
+    while send_reorder(node, "order-1", "1 cards").await.is_err() {
         tokio::time::sleep(Duration::from_millis(50)).await;
     }
-    assert!(runs(&system).values().all(|count| *count == 1));
+    assert!(run_counts(&system).values().all(|count| *count == 1));
 }
 
 // The entry node is killed while the order runs. Staff send it again through another node; a
 // second print run would cost a day's paper.
 #[tokio::test(flavor = "multi_thread")]
-async fn killed_entry() {
-    let mut system = start(2).await;
+async fn killed_ingress_node() {
+    let mut system = start_cluster(2).await;
     for (_, upstream) in &system.upstreams {
-        let straggle = Straggle { probability: 1.0, factor: 50.0 };
-        upstream.switch(UpstreamFault::Straggle(Some(straggle)));
+        let straggle = Stragglers { probability: 1.0, factor: 50.0 };
+        upstream.apply_fault(UpstreamFault::Straggle(Some(straggle)));
     }
     let node = system.nodes[1].address();
     let request = json!({ "services": ["counter-desk"], "kind": "reorder", "body": "cards" });
     let client = reqwest::Client::builder().no_proxy().build().unwrap();
     let call = client.post(format!("http://{node}/v1/query")).header("x-request-id", "order-1");
     let call = tokio::spawn(call.body(request.to_string()).send());
-    while runs(&system).is_empty() {
+    while run_counts(&system).is_empty() {
         tokio::time::sleep(Duration::from_millis(1)).await;
     }
     system.nodes[1].kill().unwrap();
     assert!(call.await.unwrap().is_err(), "the caller sees its connection end");
     for _ in 0..5 {
         let (_, refusal) =
-            reorder(system.nodes[0].address(), "order-1", "cards").await.unwrap_err();
+            send_reorder(system.nodes[0].address(), "order-1", "cards").await.unwrap_err();
         assert_ne!(refusal.outcome, Outcome::NotRun, "it did run: {refusal:?}");
     }
-    assert_eq!(runs(&system).into_values().collect::<Vec<_>>(), [1]);
+    assert_eq!(run_counts(&system).into_values().collect::<Vec<_>>(), [1]);
 }
 
 // Staff at three counters send twenty orders again and again through all nodes until each is
 // answered, while answers of the store are lost, an upstream dies and a node is paused. The
 // upstreams' own logs must show each order at most once, and every answer its own order.
 #[tokio::test(flavor = "multi_thread")]
-async fn impatient_callers() {
-    let system = start(3).await;
+async fn repeated_requests_under_faults() {
+    let system = start_cluster(3).await;
     let nodes: Vec<SocketAddr> =
         system.nodes.iter().map(sassafrasproxy_standin::NodeProcess::address).collect();
     let mut callers = JoinSet::new();
@@ -122,7 +126,7 @@
                 let (key, body) = (format!("order-{order}"), format!("{order} cards"));
                 for attempt in 0..12 {
                     let node = nodes[(caller + attempt) % nodes.len()];
-                    if let Ok(answer) = reorder(node, &key, &body).await {
+                    if let Ok(answer) = send_reorder(node, &key, &body).await {
                         let echo = format!("\"echo\":\"{body}\"");
                         assert!(answer.results[0].body.get().contains(&echo), "another's answer");
                         return true;
@@ -140,7 +144,7 @@
             system.nodes[2].pause().unwrap();
         }
         if round == 2 {
-            system.upstreams[2].1.switch(UpstreamFault::Crash { down_ms: 100 });
+            system.upstreams[2].1.apply_fault(UpstreamFault::Crash { down_ms: 100 });
         }
         tokio::time::sleep(Duration::from_millis(100)).await;
         if round == 4 {
@@ -148,7 +152,7 @@
         }
     }
     let answered = callers.join_all().await.into_iter().filter(|is_answered| *is_answered).count();
-    let runs = runs(&system);
+    let runs = run_counts(&system);
     println!("{answered} of 60 answered, {} orders ran", runs.len());
     for (body, count) in &runs {
         assert_eq!(*count, 1, "{body} ran {count} times");
--- a/crates/sassafrasproxy-cli/tests/whole_path.rs
+++ b/crates/sassafrasproxy-cli/tests/end_to_end.rs
@@ -4,18 +4,18 @@
 
 use std::time::{Duration, Instant};
 
-use sassafrasproxy_standin::{RunEnd, Straggle, UpstreamFault};
-use sassafrasproxy_wire::{Outcome, Reason};
+use sassafrasproxy_standin::{RunOutcome, Stragglers, UpstreamFault};
+use sassafrasproxy_wire::{FailureReason, Outcome};
 use serde_json::json;
-use support::{PATIENCE, System, ask, ask_until_full};
+use support::{Cluster, WAIT_TIMEOUT, search_until_complete, send_query};
 use tokio::io::AsyncWriteExt;
 use tokio::net::{TcpStream, UdpSocket};
 
 #[tokio::test(flavor = "multi_thread")]
-async fn full_answer() {
-    let system = System::start(3).await;
+async fn complete_answer() {
+    let system = Cluster::start(3).await;
     for node in &system.nodes {
-        let answer = ask_until_full(node.address(), &["art-archive", "counter-desk"]).await;
+        let answer = search_until_complete(node.address(), &["art-archive", "counter-desk"]).await;
         assert_eq!(answer.outcome, Outcome::Answered);
         assert_eq!(answer.snapshot, 7);
         let covered: Vec<String> =
@@ -35,13 +35,13 @@
 // truly, and soon in full again.
 #[tokio::test(flavor = "multi_thread")]
 async fn killed_node() {
-    let mut system = System::start(3).await;
+    let mut system = Cluster::start(3).await;
     for node in &system.nodes {
-        ask_until_full(node.address(), &["art-archive", "counter-desk"]).await;
+        search_until_complete(node.address(), &["art-archive", "counter-desk"]).await;
     }
     system.nodes[2].kill().unwrap();
     for node in &system.nodes[..2] {
-        let answer = ask_until_full(node.address(), &["art-archive", "counter-desk"]).await;
+        let answer = search_until_complete(node.address(), &["art-archive", "counter-desk"]).await;
         assert_eq!(answer.coverage.fraction, 1.0);
     }
 }
@@ -51,27 +51,27 @@
 // slow one. The entry must go round it.
 #[tokio::test(flavor = "multi_thread")]
 async fn paused_node() {
-    let system = System::start(3).await;
+    let system = Cluster::start(3).await;
     for node in &system.nodes {
-        ask_until_full(node.address(), &["art-archive", "counter-desk"]).await;
+        search_until_complete(node.address(), &["art-archive", "counter-desk"]).await;
     }
     system.nodes[1].pause().unwrap();
-    ask_until_full(system.nodes[0].address(), &["art-archive", "counter-desk"]).await;
+    search_until_complete(system.nodes[0].address(), &["art-archive", "counter-desk"]).await;
     system.nodes[1].resume().unwrap();
-    ask_until_full(system.nodes[1].address(), &["art-archive", "counter-desk"]).await;
+    search_until_complete(system.nodes[1].address(), &["art-archive", "counter-desk"]).await;
 }
 
 // A caller hangs up while its search runs. The upstream's slots would stay taken until the
 // deadline for an answer that nobody reads; the cancellation must go all the way down.
 #[tokio::test(flavor = "multi_thread")]
-async fn caller_leaves() {
-    let system = System::start(2).await;
-    let straggle = Some(Straggle { probability: 1.0, factor: 10_000.0 });
+async fn caller_disconnects() {
+    let system = Cluster::start(2).await;
+    let straggle = Some(Stragglers { probability: 1.0, factor: 10_000.0 });
     for node in &system.nodes {
-        ask_until_full(node.address(), &["counter-desk"]).await;
+        search_until_complete(node.address(), &["counter-desk"]).await;
     }
     system.upstreams.iter().for_each(|(_, upstream)| {
-        upstream.switch(UpstreamFault::Straggle(straggle));
+        upstream.apply_fault(UpstreamFault::Straggle(straggle));
     });
     for node in &system.nodes {
         let body = json!({ "services": ["counter-desk"], "kind": "search", "body": {} });
@@ -89,7 +89,7 @@
             tokio::time::sleep(Duration::from_millis(1)).await;
         }
         drop(call);
-        let end = Instant::now() + PATIENCE;
+        let end = Instant::now() + WAIT_TIMEOUT;
         while running() > 0 {
             assert!(Instant::now() < end, "still running long after its caller left");
             tokio::time::sleep(Duration::from_millis(1)).await;
@@ -97,21 +97,21 @@
     }
     let runs = system.upstreams.iter().flat_map(|(_, upstream)| upstream.runs());
     let ends: Vec<_> =
-        runs.map(|run| run.end).filter(|end| *end != Some(RunEnd::Answered)).collect();
+        runs.map(|run| run.outcome).filter(|end| *end != Some(RunOutcome::Answered)).collect();
     // More than one for each caller would mean that they ended by being given up and sent again.
-    assert_eq!(ends, [Some(RunEnd::Cancelled); 2]);
+    assert_eq!(ends, [Some(RunOutcome::Cancelled); 2]);
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn metrics() {
     let statsd = UdpSocket::bind("127.0.0.1:0").await.unwrap();
-    let mut system = System::start(0).await;
+    let mut system = Cluster::start(0).await;
     system.statsd = Some(statsd.local_addr().unwrap());
     system.add_node(0);
     let node = system.nodes[0].address();
-    ask_until_full(node, &["art-archive"]).await;
+    search_until_complete(node, &["art-archive"]).await;
     let unknown = json!({ "services": ["art-archive"], "kind": "fly", "body": {} });
-    ask(node, unknown.to_string(), &[]).await.unwrap_err();
+    send_query(node, unknown.to_string(), &[]).await.unwrap_err();
     let mut wanted = vec![
         "sassafrasproxy.queries:1|c|#node:vm-0,outcome:answered",
         "sassafrasproxy.query_ms:",
@@ -123,22 +123,22 @@
     let all = async {
         while !wanted.is_empty() {
             // The buffer is sent when it is full, so something must go on.
-            ask_until_full(node, &["art-archive"]).await;
+            search_until_complete(node, &["art-archive"]).await;
             while let Ok(length) = statsd.try_recv(&mut buffer) {
                 let text = String::from_utf8_lossy(&buffer[..length]).into_owned();
                 wanted.retain(|name| !text.lines().any(|line| line.starts_with(name)));
             }
         }
     };
-    assert!(tokio::time::timeout(PATIENCE, all).await.is_ok(), "never sent: {wanted:?}");
+    assert!(tokio::time::timeout(WAIT_TIMEOUT, all).await.is_ok(), "never sent: {wanted:?}");
 }
 
 // Faults of the stand-ins can be switched from outside as well, for tests by hand.
 #[tokio::test(flavor = "multi_thread")]
 async fn faults_over_http() {
-    let system = System::start(1).await;
+    let system = Cluster::start(1).await;
     let node = system.nodes[0].address();
-    ask_until_full(node, &["counter-desk"]).await;
+    search_until_complete(node, &["counter-desk"]).await;
     let client = reqwest::Client::builder().no_proxy().build().unwrap();
     let outage = json!({ "outage": "fail" });
     let url = format!("{}/standin/faults", system.platform.url());
@@ -146,8 +146,8 @@
     assert!(response.status().is_success());
     let reorder = json!({ "services": ["counter-desk"], "kind": "reorder", "body": {} });
     let headers = [("x-request-id", "order-1")];
-    let (_, refusal) = ask(node, reorder.to_string(), &headers).await.unwrap_err();
-    assert_eq!(refusal.reason, Reason::ClaimUnavailable);
+    let (_, refusal) = send_query(node, reorder.to_string(), &headers).await.unwrap_err();
+    assert_eq!(refusal.reason, FailureReason::ClaimUnavailable);
     for (service, upstream) in &system.upstreams {
         let url = format!("http://{}/standin/fault", upstream.address());
         let fault = json!({ "shed": service == "counter-desk" });
@@ -155,15 +155,18 @@
         assert!(response.status().is_success());
     }
     let search = json!({ "services": ["counter-desk"], "kind": "search", "body": {} });
-    let (status, refusal) = ask(node, search.to_string(), &[]).await.unwrap_err();
-    assert_eq!((status, refusal.reason, refusal.outcome), (429, Reason::Shed, Outcome::NotRun));
+    let (status, refusal) = send_query(node, search.to_string(), &[]).await.unwrap_err();
+    assert_eq!(
+        (status, refusal.reason, refusal.outcome),
+        (429, FailureReason::Shed, Outcome::NotRun)
+    );
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn bad_requests() {
-    let system = System::start(1).await;
+async fn invalid_requests() {
+    let system = Cluster::start(1).await;
     let node = system.nodes[0].address();
-    ask_until_full(node, &["counter-desk"]).await;
+    search_until_complete(node, &["counter-desk"]).await;
     let good = json!({ "services": ["counter-desk"], "kind": "search", "body": {} });
     let with = |field: &str, value: serde_json::Value| {
         let mut request = good.clone();
@@ -172,59 +175,65 @@
     };
     let oversized = with("body", "x".repeat(2 << 20).into());
     let cases = [
-        ("malformed", "{".to_owned(), vec![], 400, Reason::BadRequest),
-        ("unknown field", with("colour", 1.into()), vec![], 400, Reason::BadRequest),
-        ("no services", with("services", json!([])), vec![], 400, Reason::BadRequest),
-        ("oversized", oversized, vec![], 413, Reason::BodyTooLarge),
-        ("unknown service", with("services", json!(["x"])), vec![], 404, Reason::UnknownService),
-        ("unknown kind", with("kind", "x".into()), vec![], 400, Reason::UnknownKind),
-        ("bad coverage", with("min_coverage", 2.into()), vec![], 400, Reason::BadRequest),
+        ("malformed", "{".to_owned(), vec![], 400, FailureReason::BadRequest),
+        ("unknown field", with("colour", 1.into()), vec![], 400, FailureReason::BadRequest),
+        ("no services", with("services", json!([])), vec![], 400, FailureReason::BadRequest),
+        ("oversized", oversized, vec![], 413, FailureReason::BodyTooLarge),
+        (
+            "unknown service",
+            with("services", json!(["x"])),
+            vec![],
+            404,
+            FailureReason::UnknownService,
+        ),
+        ("unknown kind", with("kind", "x".into()), vec![], 400, FailureReason::UnknownKind),
+        ("bad coverage", with("min_coverage", 2.into()), vec![], 400, FailureReason::BadRequest),
         (
             "several indexes",
             with("services", json!(["counter-desk", "invoice-book"])),
             vec![],
             400,
-            Reason::SeveralIndexes,
+            FailureReason::SeveralIndexes,
         ),
         (
             "bad deadline",
             good.to_string(),
             vec![("x-deadline-ms", "soon")],
             400,
-            Reason::BadRequest,
+            FailureReason::BadRequest,
         ),
-        ("no key", with("kind", "reorder".into()), vec![], 400, Reason::MissingRequestId),
+        ("no key", with("kind", "reorder".into()), vec![], 400, FailureReason::MissingRequestId),
     ];
     for (name, body, headers, status, reason) in cases {
-        let (got_status, refusal) = ask(node, body, &headers).await.unwrap_err();
+        let (got_status, refusal) = send_query(node, body, &headers).await.unwrap_err();
         assert_eq!((got_status, refusal.reason), (status, reason), "{name}");
         assert_eq!(refusal.outcome, Outcome::NotRun, "{name}");
     }
-    ask_until_full(node, &["counter-desk"]).await;
+    search_until_complete(node, &["counter-desk"]).await;
 }
 
 // A caller's program reuses an id by mistake while its first request still runs. It would get
 // one of two answers under one id and could take it for the other's.
 #[tokio::test(flavor = "multi_thread")]
-async fn duplicate_id() {
-    let system = System::start(1).await;
+async fn duplicate_request_id() {
+    let system = Cluster::start(1).await;
     let node = system.nodes[0].address();
-    ask_until_full(node, &["counter-desk"]).await;
+    search_until_complete(node, &["counter-desk"]).await;
     system.upstreams.iter().for_each(|(_, upstream)| {
-        let straggle = Straggle { probability: 1.0, factor: 100.0 };
-        upstream.switch(UpstreamFault::Straggle(Some(straggle)));
+        let straggle = Stragglers { probability: 1.0, factor: 100.0 };
+        upstream.apply_fault(UpstreamFault::Straggle(Some(straggle)));
     });
     let body = json!({ "services": ["counter-desk"], "kind": "search", "body": {} }).to_string();
     let headers = [("x-request-id", "same"), ("x-deadline-ms", "2000")];
-    let first = ask(node, body.clone(), &headers);
+    let first = send_query(node, body.clone(), &headers);
     let second = async {
         while system.upstreams.iter().all(|(_, upstream)| upstream.running() == 0) {
             tokio::time::sleep(Duration::from_millis(1)).await;
         }
-        ask(node, body.clone(), &headers).await
+        send_query(node, body.clone(), &headers).await
     };
     let (first, second) = tokio::join!(first, second);
     assert_eq!(first.unwrap().request_id, "same");
     let (status, refusal) = second.unwrap_err();
-    assert_eq!((status, refusal.reason), (409, Reason::DuplicateRequestId));
+    assert_eq!((status, refusal.reason), (409, FailureReason::DuplicateRequestId));
 }
--- a/crates/sassafrasproxy-cli/tests/operators.rs
+++ b/crates/sassafrasproxy-cli/tests/operator_commands.rs
@@ -10,21 +10,21 @@
 
 use sassafrasproxy_standin::{Outage, PlatformFaults, run_command};
 use serde_json::Value;
-use support::{PATIENCE, System, ask_until_full, binary};
+use support::{Cluster, WAIT_TIMEOUT, binary, search_until_complete};
 use tempfile::TempDir;
 
-fn run(words: &[&str]) -> (i32, String, String) {
+fn run_cli(words: &[&str]) -> (i32, String, String) {
     let Output { status, stdout, stderr } = run_command(binary(), words).unwrap();
     let text = |bytes: Vec<u8>| String::from_utf8(bytes).unwrap();
     (status.code().unwrap(), text(stdout), text(stderr))
 }
 
-fn json(words: &[&str]) -> (i32, Value) {
-    let (code, output, _) = run(&[words, &["--json"]].concat());
+fn run_cli_json(words: &[&str]) -> (i32, Value) {
+    let (code, output, _) = run_cli(&[words, &["--json"]].concat());
     (code, serde_json::from_str(output.lines().last().unwrap()).unwrap())
 }
 
-fn write_service(dir: &Path, name: &str, port: u16) {
+fn write_service_file(dir: &Path, name: &str, port: u16) {
     let text = format!(
         "service: {name}\nindex: catalogue\nfailure_domains: [galway-1]\nupstreams:\n  \
          - {{ address: \"127.0.1.1:{port}\", failure_domain: galway-1, shards: [s0] }}\n\
@@ -36,10 +36,10 @@
 
 /// Waits until a node has heard from all members that they follow a revision. A member's own word
 /// travels with its heartbeats, so another node's status shows it up to an interval later.
-async fn wait_until_all_follow(node: &str, revision: u64) {
-    let end = Instant::now() + PATIENCE;
+async fn wait_until_all_report_revision(node: &str, revision: u64) {
+    let end = Instant::now() + WAIT_TIMEOUT;
     loop {
-        let (_, status) = json(&["status", "--node", node]);
+        let (_, status) = run_cli_json(&["status", "--node", node]);
         let members = status["members"].as_array().unwrap();
         if members.iter().all(|member| member["revision"] == revision) {
             return;
@@ -50,114 +50,115 @@
 }
 
 #[test]
-fn usage() {
+fn help_and_usage_errors() {
     for words in [&["--help"][..], &["run", "--help"], &["domain", "out", "--help"]] {
-        let (code, output, _) = run(words);
+        let (code, output, _) = run_cli(words);
         assert_eq!(code, 0);
         assert!(output.contains("Usage:"), "{output}");
     }
-    assert_eq!(run(&["fly"]).0, 2);
-    assert_eq!(run(&["query"]).0, 2);
-    assert_eq!(run(&["publish", "."]).0, 2, "the platform is not named");
+    assert_eq!(run_cli(&["fly"]).0, 2);
+    assert_eq!(run_cli(&["query"]).0, 2);
+    assert_eq!(run_cli(&["publish", "."]).0, 2, "the platform is not named");
 }
 
 #[test]
-fn wrong_files() {
+fn invalid_files() {
     let dir = TempDir::new().unwrap();
     let settings = dir.path().join("node.yaml");
     std::fs::write(&settings, "name: vm-1\ncolour: red\n").unwrap();
-    let (code, _, errors) = run(&["run", "--settings", settings.to_str().unwrap()]);
+    let (code, _, errors) = run_cli(&["run", "--settings", settings.to_str().unwrap()]);
     assert_eq!(code, 2);
     assert!(errors.contains("node.yaml:2") && errors.contains("colour"), "{errors}");
     assert!(errors.contains("hint:"), "{errors}");
 
-    write_service(dir.path(), "art", 7101);
+    write_service_file(dir.path(), "art", 7101);
     let path = dir.path().join("art.sassafras.yaml");
     let text = std::fs::read_to_string(&path).unwrap().replace("slots: 2", "slots: 0");
     std::fs::write(path, text).unwrap();
-    let (code, problems) = json(&["check", dir.path().to_str().unwrap()]);
+    let (code, problems) = run_cli_json(&["check", dir.path().to_str().unwrap()]);
     assert_eq!((code, problems["problems"][0]["line"].as_u64()), (2, Some(6)));
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn publishing() {
-    let system = System::start(0).await;
+    let system = Cluster::start(0).await;
     let url = system.platform.url();
     let dir = TempDir::new().unwrap();
-    write_service(dir.path(), "art", 7101);
+    write_service_file(dir.path(), "art", 7101);
     let dir_name = dir.path().to_str().unwrap();
-    assert_eq!(json(&["check", dir_name]).0, 0);
+    assert_eq!(run_cli_json(&["check", dir_name]).0, 0);
 
     let stale = ["publish", "--platform", url.as_str(), dir_name, "--expect", "7"];
-    let (code, refused) = json(&stale);
+    let (code, refused) = run_cli_json(&stale);
     assert_eq!((code, refused["reason"].as_str()), (1, Some("conflict")));
     assert_eq!(refused["published_by"], "test");
 
     let words = ["publish", "--platform", url.as_str(), dir_name, "--expect", "1"];
-    let (code, done) = json(&words);
+    let (code, done) = run_cli_json(&words);
     assert_eq!((code, done["revision"].as_u64()), (0, Some(2)));
     assert_eq!(done["changes"].as_array().unwrap().len(), 4, "one new, three gone");
-    let (code, unchanged) = json(&["publish", "--platform", url.as_str(), dir_name]);
+    let (code, unchanged) = run_cli_json(&["publish", "--platform", url.as_str(), dir_name]);
     assert_eq!((code, unchanged["outcome"].as_str()), (0, Some("unchanged")));
     let chunks = system.platform.keys("configuration/chunk/");
     assert_eq!(chunks.len(), 1, "replaced chunks are removed: {chunks:?}");
 
-    let (code, domains) = json(&["domain", "list", "--platform", url.as_str()]);
+    let (code, domains) = run_cli_json(&["domain", "list", "--platform", url.as_str()]);
     assert_eq!((code, domains["domains"]["galway-1"].as_str()), (0, Some("in")));
-    assert_eq!(json(&["domain", "out", "galway-9", "--platform", url.as_str()]).0, 1);
-    assert_eq!(json(&["domain", "out", "galway-1", "--platform", url.as_str()]).0, 0);
-    let (_, domains) = json(&["domain", "list", "--platform", url.as_str()]);
+    assert_eq!(run_cli_json(&["domain", "out", "galway-9", "--platform", url.as_str()]).0, 1);
+    assert_eq!(run_cli_json(&["domain", "out", "galway-1", "--platform", url.as_str()]).0, 0);
+    let (_, domains) = run_cli_json(&["domain", "list", "--platform", url.as_str()]);
     assert_eq!(domains["domains"]["galway-1"], "out");
 }
 
 // The platform is away while an operator publishes. Telling "refused" after the change took
 // effect, or "done" before it did, would send the operator the wrong way.
 #[tokio::test(flavor = "multi_thread")]
-async fn platform_away() {
-    let system = System::start(0).await;
+async fn platform_unavailable() {
+    let system = Cluster::start(0).await;
     let url = system.platform.url();
     let outage = Some(Outage::Fail);
     system.platform.set_faults(PlatformFaults { outage, ..PlatformFaults::default() });
-    let (code, refused) = json(&["domain", "out", "galway-1", "--platform", url.as_str()]);
+    let (code, refused) = run_cli_json(&["domain", "out", "galway-1", "--platform", url.as_str()]);
     assert_eq!((code, refused["reason"].as_str()), (1, Some("unavailable")));
     let faults = PlatformFaults { lose_answers: 1, ..PlatformFaults::default() };
     system.platform.set_faults(faults);
-    let (code, done) = json(&["domain", "out", "galway-1", "--platform", url.as_str()]);
+    let (code, done) = run_cli_json(&["domain", "out", "galway-1", "--platform", url.as_str()]);
     assert_eq!((code, done["revision"].as_u64()), (0, Some(2)));
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn looking_around() {
-    let system = System::start(2).await;
+async fn inspection_commands() {
+    let system = Cluster::start(2).await;
     let node = system.nodes[0].address();
-    ask_until_full(node, &["art-archive", "counter-desk"]).await;
-    ask_until_full(system.nodes[1].address(), &["counter-desk"]).await;
+    search_until_complete(node, &["art-archive", "counter-desk"]).await;
+    search_until_complete(system.nodes[1].address(), &["counter-desk"]).await;
     let node = node.to_string();
-    let (code, status) = json(&["status", "--node", &node]);
+    let (code, status) = run_cli_json(&["status", "--node", &node]);
     assert_eq!((code, status["revision"].as_u64()), (0, Some(1)));
     let members = status["members"].as_array().unwrap();
     assert_eq!(members.len(), 2);
     let own = members.iter().find(|member| member["node"] == "vm-0").unwrap();
     assert_eq!(own["revision"], 1, "its own is known at once: {members:?}");
-    wait_until_all_follow(&node, 1).await;
-    let (code, list) = json(&["addresses", "--node", &node, "--failure-domain", "galway-2"]);
+    wait_until_all_report_revision(&node, 1).await;
+    let (code, list) =
+        run_cli_json(&["addresses", "--node", &node, "--failure-domain", "galway-2"]);
     assert_eq!(code, 0);
     assert_eq!(list["addresses"][0]["failure_domain"], "galway-2", "its own domain first");
     let words = ["query", "art-archive", "--node", &node, "--request-id", "ask-1"];
-    let (code, answer) = json(&words);
+    let (code, answer) = run_cli_json(&words);
     assert_eq!((code, answer["coverage"]["fraction"].as_f64()), (0, Some(1.0)));
-    let (code, refused) = json(&["query", "nothing", "--node", &node]);
+    let (code, refused) = run_cli_json(&["query", "nothing", "--node", &node]);
     assert_eq!((code, refused["reason"].as_str()), (1, Some("unknown_service")));
-    let (code, output, _) = run(&["timeline", "--nodes", &node]);
+    let (code, output, _) = run_cli(&["timeline", "--nodes", &node]);
     assert_eq!(code, 0);
     for (event, from) in [("node_started", "vm-1"), ("revision_in_force", "vm-0")] {
         let is_told = |line: &str| line.contains(event) && line.contains(from);
         assert!(output.lines().any(is_told), "{event} of {from}");
     }
-    let (_, output, _) = run(&["timeline", "--nodes", &node, "--request", "ask-1"]);
+    let (_, output, _) = run_cli(&["timeline", "--nodes", &node, "--request", "ask-1"]);
     assert_eq!(output.lines().count(), 1, "{output}");
     assert!(output.contains("query_ended"), "{output}");
     for words in [&["status", "--node", &node][..], &["addresses", "--node", &node]] {
-        assert_eq!(run(words).0, 0);
+        assert_eq!(run_cli(words).0, 0);
     }
 }
--- a/crates/sassafrasproxy-cli/tests/request_story.rs
+++ b/crates/sassafrasproxy-cli/tests/request_diagnosis.rs
@@ -13,7 +13,7 @@
 /// A caller complains about an answer that left a shard out. The engineer has its id and the
 /// logs of all processes: they name the shard, the replica and why.
 #[tokio::test(flavor = "multi_thread")]
-async fn left_out() {
+async fn missing_shard() {
     let system = Cluster::start(2).await;
     for id in ["s2a", "s2b"] {
         system.replica(id).set_mode(ReplicaMode::Failing);
@@ -46,7 +46,7 @@
 /// says that it did not run; the log must say which service that was and why, since a route's name
 /// alone does not lead to it.
 #[tokio::test(flavor = "multi_thread")]
-async fn refused() {
+async fn refused_without_replica() {
     let system = Cluster::start(1).await;
     for id in ["da", "db"] {
         system.store.deregister_replica(id);
--- a/crates/sassafrasproxy-cli/tests/soak_short.rs
+++ b/crates/sassafrasproxy-cli/tests/soak_short.rs
@@ -4,7 +4,7 @@
 
 use std::path::Path;
 
-use sassafrasproxy_soak::{SoakSettings, soak};
+use sassafrasproxy_soak::{SoakSettings, run_soak};
 
 /// Seeds that CI plays.
 const SEEDS: [u64; 2] = [1, 2];
@@ -12,12 +12,12 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn fixed_seeds() {
     for seed in SEEDS {
-        let settings = SoakSettings { seed, seconds: 5, nodes: 4 };
+        let settings = SoakSettings { seed, duration_s: 5, gateway_count: 4 };
         let binary = Path::new(env!("CARGO_BIN_EXE_sassafrasproxy"));
-        let report = soak(binary, settings).await.unwrap();
-        println!("seed {seed}: {:?}", report.answers);
-        assert!(report.broken.is_empty(), "seed {seed}: {:#?}", report.broken);
-        let answered = report.answers.get(&200).copied().unwrap_or(0);
-        assert!(answered > 0, "seed {seed}: nobody was served: {:?}", report.answers);
+        let report = run_soak(binary, settings).await.unwrap();
+        println!("seed {seed}: {:?}", report.status_counts);
+        assert!(report.violations.is_empty(), "seed {seed}: {:#?}", report.violations);
+        let answered = report.status_counts.get(&200).copied().unwrap_or(0);
+        assert!(answered > 0, "seed {seed}: nobody was served: {:?}", report.status_counts);
     }
 }
--- a/crates/sassafrasproxy-cli/tests/support/mod.rs
+++ b/crates/sassafrasproxy-cli/tests/support/mod.rs
@@ -7,7 +7,7 @@
 use std::time::{Duration, Instant};
 
 use indexmap::IndexMap;
-use sassafrasproxy_config::Change;
+use sassafrasproxy_config::PublishRequest;
 use sassafrasproxy_node::{PlatformClient, publish};
 use sassafrasproxy_standin::{
     NodeProcess, PlatformStandIn, ServiceSetup, UpstreamStandIn, shard_names,
@@ -16,13 +16,13 @@
 use serde_json::json;
 
 /// How long a test waits for a state before it counts as never reached.
-pub const PATIENCE: Duration = Duration::from_secs(30);
+pub const WAIT_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// The failure domains of the test system.
-pub const DOMAINS: [&str; 3] = ["galway-1", "galway-2", "galway-3"];
+pub const FAILURE_DOMAINS: [&str; 3] = ["galway-1", "galway-2", "galway-3"];
 
 /// Node processes with stand-ins for the platform and the upstreams.
-pub struct System {
+pub struct Cluster {
     pub platform: PlatformStandIn,
     /// Each replica with its service.
     pub upstreams: Vec<(String, UpstreamStandIn)>,
@@ -31,33 +31,34 @@
     pub statsd: Option<SocketAddr>,
 }
 
-impl System {
+impl Cluster {
     /// Starts a number of nodes over three services of two indexes.
     pub async fn start(nodes: usize) -> Self {
         let platform = PlatformStandIn::start(SocketAddr::from(([127, 0, 0, 1], 0))).unwrap();
-        let art = ServiceSetup { shards: 2, ..ServiceSetup::small("art-archive", "catalogue") };
+        let art =
+            ServiceSetup { shard_count: 2, ..ServiceSetup::small("art-archive", "catalogue") };
         let desk = ServiceSetup::small("counter-desk", "catalogue");
         let book = ServiceSetup::small("invoice-book", "billing");
-        let domains: Vec<_> = DOMAINS.iter().map(|domain| (*domain).into()).collect();
+        let domains: Vec<_> = FAILURE_DOMAINS.iter().map(|domain| (*domain).into()).collect();
         let mut services = IndexMap::new();
         let mut upstreams = Vec::new();
         for setup in [art, desk, book] {
             let setup = ServiceSetup { deadline_ms: 1_000, ..setup };
             let start = |replica: usize| {
                 let address = SocketAddr::from(([127, 0, 0, 1], 0));
-                UpstreamStandIn::start(address, setup.upstream(replica as u64)).unwrap()
+                UpstreamStandIn::start(address, setup.upstream_setup(replica as u64)).unwrap()
             };
-            let replicas: Vec<UpstreamStandIn> = (0..setup.replicas).map(start).collect();
+            let replicas: Vec<UpstreamStandIn> = (0..setup.replica_count).map(start).collect();
             let addresses: Vec<SocketAddr> =
                 replicas.iter().map(UpstreamStandIn::address).collect();
-            let mut spec = setup.spec(&addresses, &domains);
+            let mut spec = setup.service_spec(&addresses, &domains);
             // The replicas may hold more shards than they do at first.
             spec.upstreams.iter_mut().for_each(|upstream| upstream.shards = shard_names(4));
             services.insert(setup.name.clone(), spec);
             upstreams.extend(replicas.into_iter().map(|replica| (setup.name.to_string(), replica)));
         }
         let client = PlatformClient::new(platform.url()).unwrap();
-        let change = Change::Services { services, expect: None };
+        let change = PublishRequest::ReplaceServices { services, expected_revision: None };
         publish(&client, change, "test".into(), |_| {}).await;
         let mut system = Self { platform, upstreams, nodes: Vec::new(), statsd: None };
         for number in 0..nodes {
@@ -72,7 +73,7 @@
             self.nodes.iter().map(|node| node.peer_address().to_string()).collect();
         let settings = json!({
             "name": format!("vm-{number}"),
-            "failure_domain": DOMAINS[number % DOMAINS.len()],
+            "failure_domain": FAILURE_DOMAINS[number % FAILURE_DOMAINS.len()],
             "listen": "127.0.0.1:0",
             "peer_listen": "127.0.0.1:0",
             "platform": self.platform.url(),
@@ -91,7 +92,7 @@
 }
 
 /// Sends a query; a refusal comes with its status.
-pub async fn ask(
+pub async fn send_query(
     node: SocketAddr,
     body: String,
     headers: &[(&str, &str)],
@@ -111,12 +112,12 @@
 }
 
 /// Sends a search until it is answered in full; every answer before that must be a true one.
-pub async fn ask_until_full(node: SocketAddr, services: &[&str]) -> QueryAnswer {
+pub async fn search_until_complete(node: SocketAddr, services: &[&str]) -> QueryAnswer {
     let request =
         json!({ "services": services, "kind": "search", "body": { "text": "verse" } }).to_string();
-    let end = Instant::now() + PATIENCE;
+    let end = Instant::now() + WAIT_TIMEOUT;
     loop {
-        let last = match ask(node, request.clone(), &[]).await {
+        let last = match send_query(node, request.clone(), &[]).await {
             Ok(answer) => {
                 assert_eq!(answer.results.len(), answer.coverage.covered.len());
                 if answer.coverage.missing.is_empty() {
--- a/crates/sassafrasproxy-config/src/chunks.rs
+++ b/crates/sassafrasproxy-config/src/chunks.rs
@@ -20,7 +20,7 @@
 pub const HEAD_KEY: &str = "configuration/head";
 
 /// The size that chunks are laid out for, in bytes; far below the store's largest value.
-const CHUNK_BYTES: usize = 65_536;
+const TARGET_CHUNK_BYTES: usize = 65_536;
 
 /// One chunk of services.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -70,7 +70,7 @@
 
 impl AssembleError {
     /// Whether reading the same revision again cannot help.
-    pub fn is_final(&self) -> bool {
+    pub fn is_permanent(&self) -> bool {
         matches!(self, Self::Unreadable { .. } | Self::Refused { .. })
     }
 }
@@ -89,7 +89,7 @@
     known: &IndexSet<EcoString>,
 ) -> Vec<Chunk> {
     let total: usize = services.values().map(|service| to_json(service).len()).sum();
-    let count = (total / CHUNK_BYTES + 1).next_power_of_two();
+    let count = (total / TARGET_CHUNK_BYTES + 1).next_power_of_two();
     let mut buckets: Vec<Vec<&ServiceSpec>> = vec![Vec::new(); count];
     for (name, service) in services {
         buckets[xxh3_64(name.as_bytes()) as usize % count].push(service);
@@ -100,7 +100,7 @@
     let filled = buckets.iter().filter(|bucket| !bucket.is_empty());
     let name_text = |text: EcoString| {
         let hash = hash_text(&text);
-        let known = known.iter().find(|name| hash_in(name) == hash);
+        let known = known.iter().find(|name| hash_from_name(name) == hash);
         let name = known.cloned().unwrap_or_else(|| eco_format!("{revision}-{hash}"));
         Chunk { name, text }
     };
@@ -108,13 +108,13 @@
 }
 
 /// Reads the head's text.
-pub fn read_head(text: &str) -> Result<ConfigurationHead, AssembleError> {
+pub fn parse_head(text: &str) -> Result<ConfigurationHead, AssembleError> {
     serde_json::from_str(text)
         .map_err(|error| AssembleError::Unreadable { revision: 0, detail: eco_format!("{error}") })
 }
 
 /// Puts a configuration together and checks that a node can run it.
-pub fn assemble(
+pub fn assemble_configuration(
     head: &ConfigurationHead,
     chunks: &IndexMap<EcoString, EcoString>,
 ) -> Result<Configuration, AssembleError> {
@@ -124,7 +124,7 @@
         let Some(text) = chunks.get(name) else {
             return Err(AssembleError::MissingChunk { name: name.clone(), revision });
         };
-        if hash_text(text) != hash_in(name) {
+        if hash_text(text) != hash_from_name(name) {
             return Err(AssembleError::WrongContent { name: name.clone(), revision });
         }
         let part: Vec<ServiceSpec> = serde_json::from_str(text).map_err(|error| {
@@ -139,7 +139,7 @@
 }
 
 /// The hash in a chunk's name.
-fn hash_in(name: &str) -> &str {
+fn hash_from_name(name: &str) -> &str {
     name.split_once('-').map_or("", |(_, hash)| hash)
 }
 
--- a/crates/sassafrasproxy-config/src/problem.rs
+++ b/crates/sassafrasproxy-config/src/diagnostic.rs
@@ -10,7 +10,7 @@
 /// One thing that is wrong with a file.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 #[error("{file}:{line}: {message}\n  hint: {hint}")]
-pub struct Problem {
+pub struct Diagnostic {
     /// The file as it was named.
     pub file: EcoString,
     /// The line, from 1; 0 when the whole file is meant.
@@ -21,9 +21,9 @@
     pub hint: EcoString,
 }
 
-impl Problem {
+impl Diagnostic {
     /// A problem at a place of a file.
-    pub(crate) fn new(
+    pub(crate) fn at_location(
         file: &str,
         at: Location,
         message: impl Into<EcoString>,
@@ -33,7 +33,7 @@
     }
 
     /// A problem with a file as a whole.
-    pub(crate) fn whole(
+    pub(crate) fn for_file(
         file: &str,
         message: impl Into<EcoString>,
         hint: impl Into<EcoString>,
@@ -43,10 +43,10 @@
 }
 
 /// Reads a settings file as text.
-pub(crate) fn read_text(path: &Path) -> Result<String, Problem> {
+pub(crate) fn read_text(path: &Path) -> Result<String, Diagnostic> {
     std::fs::read_to_string(path).map_err(|error| {
         let file = path.display().to_string();
-        Problem::whole(&file, error.to_string(), "name a file that can be read")
+        Diagnostic::for_file(&file, error.to_string(), "name a file that can be read")
     })
 }
 
@@ -55,12 +55,12 @@
     file: &str,
     text: &str,
     hint: &str,
-) -> Result<T, Problem> {
+) -> Result<T, Diagnostic> {
     serde_saphyr::from_str(text).map_err(|error| {
         let line = error.location().map_or(0, |at| at.line());
         // The parser does not name the field, but its line does.
         let source = text.lines().nth((line as usize).wrapping_sub(1)).unwrap_or("").trim();
         let message = eco_format!("{} in `{source}`", error.without_snippet());
-        Problem { file: file.into(), line, message, hint: hint.into() }
+        Diagnostic { file: file.into(), line, message, hint: hint.into() }
     })
 }
--- a/crates/sassafrasproxy-config/src/gateway.rs
+++ b/crates/sassafrasproxy-config/src/gateway_settings.rs
@@ -7,11 +7,11 @@
 use serde::Deserialize;
 use serde_saphyr::{Location, Spanned};
 
-use crate::Problem;
-use crate::problem::{read_text, read_yaml};
+use crate::Diagnostic;
+use crate::diagnostic::{read_text, read_yaml};
 
 /// What to do about a settings file that cannot be read.
-const HINT: &str = "see docs/OPERATIONS.md for the fields of a gateway's settings";
+const SETTINGS_HINT: &str = "see docs/OPERATIONS.md for the fields of a gateway's settings";
 
 /// The longest that callers may be told to keep an address list, in milliseconds.
 const MAX_ADDRESS_KEEP_MS: u64 = 600_000;
@@ -118,23 +118,23 @@
 
 impl GatewaySettings {
     /// Reads and checks a settings file.
-    pub fn load(path: &Path) -> Result<Self, Problem> {
+    pub fn load(path: &Path) -> Result<Self, Diagnostic> {
         let file = path.display().to_string();
         Self::parse(&file, &read_text(path)?)
     }
 
     /// Checks the text of a settings file; `file` is its name in problems.
-    pub fn parse(file: &str, text: &str) -> Result<Self, Problem> {
-        let raw: GatewayFile = read_yaml(file, text, HINT)?;
-        let socket = |field: &str, value: &Spanned<EcoString>| address(file, field, value);
-        let seeds: Result<Vec<SocketAddr>, Problem> =
+    pub fn parse(file: &str, text: &str) -> Result<Self, Diagnostic> {
+        let raw: GatewayFile = read_yaml(file, text, SETTINGS_HINT)?;
+        let socket = |field: &str, value: &Spanned<EcoString>| parse_address(file, field, value);
+        let seeds: Result<Vec<SocketAddr>, Diagnostic> =
             raw.seeds.iter().map(|seed| socket("seeds", seed)).collect();
         let optional = |field: &str, value: &Option<Spanned<EcoString>>| {
             value.as_ref().map(|at| socket(field, at)).transpose()
         };
         Ok(Self {
-            name: filled(file, "name", &raw.name)?,
-            failure_domain: filled(file, "failure_domain", &raw.failure_domain)?,
+            name: require_non_empty(file, "name", &raw.name)?,
+            failure_domain: require_non_empty(file, "failure_domain", &raw.failure_domain)?,
             callers_listen: socket("callers_listen", &raw.callers_listen)?,
             ready_listen: socket("ready_listen", &raw.ready_listen)?,
             directory_listen: socket("directory_listen", &raw.directory_listen)?,
@@ -144,104 +144,122 @@
             metrics_listen: optional("metrics_listen", &raw.metrics_listen)?,
             store: socket("store", &raw.store)?,
             seeds: seeds?,
-            cpu_share: cpu_share(file, &raw.cpu_share)?,
-            address_keep_ms: between(
+            cpu_share: check_cpu_share(file, &raw.cpu_share)?,
+            address_keep_ms: require_in_range(
                 file,
                 "address_keep_ms",
                 &raw.address_keep_ms,
                 1,
                 MAX_ADDRESS_KEEP_MS,
             )?,
-            grace_ms: between(file, "grace_ms", &raw.grace_ms, 1, u64::MAX)?,
-            retry_budget: retry_budget(file, &raw.retry_budget)?,
-            warmup: warmup(file, &raw.warmup)?,
-            rollouts: raw.rollouts.as_ref().map(|value| rollouts(file, value)).transpose()?,
+            grace_ms: require_in_range(file, "grace_ms", &raw.grace_ms, 1, u64::MAX)?,
+            retry_budget: check_retry_budget(file, &raw.retry_budget)?,
+            warmup: check_warmup(file, &raw.warmup)?,
+            rollouts: raw.rollouts.as_ref().map(|value| check_rollouts(file, value)).transpose()?,
         })
     }
 }
 
 /// A text that must not be empty.
-pub(crate) fn filled(
+pub(crate) fn require_non_empty(
     file: &str,
     field: &str,
     value: &Spanned<EcoString>,
-) -> Result<EcoString, Problem> {
+) -> Result<EcoString, Diagnostic> {
     if value.value.trim().is_empty() {
         let message = format!("`{field}` is empty");
-        return Err(Problem::new(file, value.referenced, message, "give it a name"));
+        return Err(Diagnostic::at_location(file, value.referenced, message, "give it a name"));
     }
     Ok(value.value.clone())
 }
 
 /// An address by IP number.
-pub(crate) fn address(
+pub(crate) fn parse_address(
     file: &str,
     field: &str,
     value: &Spanned<EcoString>,
-) -> Result<SocketAddr, Problem> {
+) -> Result<SocketAddr, Diagnostic> {
     value.value.parse().map_err(|_| {
         let message = format!("`{field}` is `{}`, which is no address", value.value);
-        Problem::new(file, value.referenced, message, "write IP number and port, as 127.0.0.1:7001")
+        Diagnostic::at_location(
+            file,
+            value.referenced,
+            message,
+            "write IP number and port, as 127.0.0.1:7001",
+        )
     })
 }
 
 /// A number within bounds, both included.
-pub(crate) fn between(
+pub(crate) fn require_in_range(
     file: &str,
     field: &str,
     value: &Spanned<u64>,
     least: u64,
     most: u64,
-) -> Result<u64, Problem> {
+) -> Result<u64, Diagnostic> {
     if value.value < least || value.value > most {
         let message = format!("`{field}` is {}", value.value);
         let hint = format!("use {least} to {most}");
-        return Err(Problem::new(file, value.referenced, message, hint));
+        return Err(Diagnostic::at_location(file, value.referenced, message, hint));
     }
     Ok(value.value)
 }
 
-fn cpu_share(file: &str, value: &Spanned<f64>) -> Result<f64, Problem> {
-    not_negative(file, "cpu_share", value.referenced, value.value)?;
+fn check_cpu_share(file: &str, value: &Spanned<f64>) -> Result<f64, Diagnostic> {
+    require_non_negative(file, "cpu_share", value.referenced, value.value)?;
     Ok(value.value)
 }
 
-fn retry_budget(
+fn check_retry_budget(
     file: &str,
     value: &Spanned<RetryBudgetSettings>,
-) -> Result<RetryBudgetSettings, Problem> {
+) -> Result<RetryBudgetSettings, Diagnostic> {
     let budget = value.value;
     let at = value.referenced;
-    not_negative(file, "retry_budget.ratio", at, budget.ratio)?;
-    not_negative(file, "retry_budget.fixed", at, budget.fixed)?;
+    require_non_negative(file, "retry_budget.ratio", at, budget.ratio)?;
+    require_non_negative(file, "retry_budget.fixed", at, budget.fixed)?;
     if budget.window_ms == 0 {
-        return Err(Problem::new(file, at, "`retry_budget.window_ms` is 0", "use 1 or more"));
+        return Err(Diagnostic::at_location(
+            file,
+            at,
+            "`retry_budget.window_ms` is 0",
+            "use 1 or more",
+        ));
     }
     Ok(budget)
 }
 
-fn warmup(file: &str, value: &Spanned<WarmupSettings>) -> Result<WarmupSettings, Problem> {
+fn check_warmup(file: &str, value: &Spanned<WarmupSettings>) -> Result<WarmupSettings, Diagnostic> {
     let warmup = value.value;
-    not_negative(file, "warmup.factor", value.referenced, warmup.factor)?;
-    not_negative(file, "warmup.slack", value.referenced, warmup.slack)?;
+    require_non_negative(file, "warmup.factor", value.referenced, warmup.factor)?;
+    require_non_negative(file, "warmup.slack", value.referenced, warmup.slack)?;
     Ok(warmup)
 }
 
-fn rollouts(file: &str, value: &Spanned<RolloutSettings>) -> Result<RolloutSettings, Problem> {
+fn check_rollouts(
+    file: &str,
+    value: &Spanned<RolloutSettings>,
+) -> Result<RolloutSettings, Diagnostic> {
     let rollouts = value.value;
     let at = value.referenced;
-    not_negative(file, "rollouts.exposure_share", at, rollouts.exposure_share)?;
-    not_negative(file, "rollouts.exposure_slack", at, rollouts.exposure_slack)?;
+    require_non_negative(file, "rollouts.exposure_share", at, rollouts.exposure_share)?;
+    require_non_negative(file, "rollouts.exposure_slack", at, rollouts.exposure_slack)?;
     if rollouts.exposure_share > 1.0 {
         let message = format!("`rollouts.exposure_share` is {}", rollouts.exposure_share);
-        return Err(Problem::new(file, at, message, "use 0 to 1"));
+        return Err(Diagnostic::at_location(file, at, message, "use 0 to 1"));
     }
     Ok(rollouts)
 }
 
-fn not_negative(file: &str, field: &str, at: Location, value: f64) -> Result<(), Problem> {
+fn require_non_negative(
+    file: &str,
+    field: &str,
+    at: Location,
+    value: f64,
+) -> Result<(), Diagnostic> {
     if value.is_finite() && value >= 0.0 {
         return Ok(());
     }
-    Err(Problem::new(file, at, format!("`{field}` is {value}"), "use 0 or more"))
+    Err(Diagnostic::at_location(file, at, format!("`{field}` is {value}"), "use 0 or more"))
 }
--- a/crates/sassafrasproxy-config/src/lib.rs
+++ b/crates/sassafrasproxy-config/src/lib.rs
@@ -1,19 +1,22 @@
 //! Service files, node settings, and the publishing of configurations.
 
 mod chunks;
-mod gateway;
-mod problem;
-mod publish;
+mod diagnostic;
+mod gateway_settings;
+mod node_settings;
+mod publisher;
 mod service_file;
-mod settings;
 
 pub use self::chunks::{
-    AssembleError, Chunk, HEAD_KEY, assemble, chunk_key, chunk_services, read_head,
+    AssembleError, Chunk, HEAD_KEY, assemble_configuration, chunk_key, chunk_services, parse_head,
 };
-pub use self::gateway::{GatewaySettings, RetryBudgetSettings, RolloutSettings, WarmupSettings};
-pub use self::problem::Problem;
-pub use self::publish::{
-    Change, ConfigurationChange, Publish, PublishEnd, PublishEvent, PublishStep, changes_between,
+pub use self::diagnostic::Diagnostic;
+pub use self::gateway_settings::{
+    GatewaySettings, RetryBudgetSettings, RolloutSettings, WarmupSettings,
+};
+pub use self::node_settings::NodeSettings;
+pub use self::publisher::{
+    ConfigurationChange, PublishEvent, PublishOutcome, PublishRequest, PublishStep, Publisher,
+    diff_configurations,
 };
 pub use self::service_file::{SERVICE_FILE_SUFFIX, check_configuration, read_services};
-pub use self::settings::Settings;
--- a/crates/sassafrasproxy-config/src/settings.rs
+++ b/crates/sassafrasproxy-config/src/node_settings.rs
@@ -7,9 +7,9 @@
 use serde::Deserialize;
 use serde_saphyr::Spanned;
 
-use crate::Problem;
-use crate::gateway::{address, between, filled};
-use crate::problem::{read_text, read_yaml};
+use crate::Diagnostic;
+use crate::diagnostic::{read_text, read_yaml};
+use crate::gateway_settings::{parse_address, require_in_range, require_non_empty};
 
 /// How long callers keep an address list when the settings do not say, in milliseconds.
 const DEFAULT_ADDRESS_KEEP_MS: u64 = 10_000;
@@ -18,12 +18,12 @@
 const MAX_ADDRESS_KEEP_MS: u64 = 600_000;
 
 /// What to do about a settings file that cannot be read.
-const HINT: &str =
+const SETTINGS_HINT: &str =
     "name, failure_domain, listen, peer_listen and platform are needed; see docs/OPERATIONS.md";
 
 /// The checked settings of one node.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Settings {
+pub struct NodeSettings {
     /// The node's name; unique over all nodes.
     pub name: EcoString,
     /// The failure domain that the node is in.
@@ -64,52 +64,60 @@
     statsd: Option<Spanned<EcoString>>,
 }
 
-impl Settings {
+impl NodeSettings {
     /// Reads and checks a settings file.
-    pub fn load(path: &Path) -> Result<Self, Problem> {
+    pub fn load(path: &Path) -> Result<Self, Diagnostic> {
         let file = path.display().to_string();
         Self::parse(&file, &read_text(path)?)
     }
 
     /// Checks the text of a settings file; `file` is its name in problems.
-    pub fn parse(file: &str, text: &str) -> Result<Self, Problem> {
-        let raw: SettingsFile = read_yaml(file, text, HINT)?;
-        let seeds: Result<Vec<EcoString>, Problem> =
-            raw.seeds.iter().map(|seed| address(file, "seeds", seed).map(to_text)).collect();
+    pub fn parse(file: &str, text: &str) -> Result<Self, Diagnostic> {
+        let raw: SettingsFile = read_yaml(file, text, SETTINGS_HINT)?;
+        let seeds: Result<Vec<EcoString>, Diagnostic> = raw
+            .seeds
+            .iter()
+            .map(|seed| parse_address(file, "seeds", seed).map(format_address))
+            .collect();
         let optional = |field: &str, value: &Option<Spanned<EcoString>>| {
-            value.as_ref().map(|value| address(file, field, value)).transpose()
+            value.as_ref().map(|value| parse_address(file, field, value)).transpose()
         };
         Ok(Self {
-            name: filled(file, "name", &raw.name)?,
-            failure_domain: filled(file, "failure_domain", &raw.failure_domain)?,
-            listen: address(file, "listen", &raw.listen)?,
-            peer_listen: address(file, "peer_listen", &raw.peer_listen)?,
+            name: require_non_empty(file, "name", &raw.name)?,
+            failure_domain: require_non_empty(file, "failure_domain", &raw.failure_domain)?,
+            listen: parse_address(file, "listen", &raw.listen)?,
+            peer_listen: parse_address(file, "peer_listen", &raw.peer_listen)?,
             advertise: optional("advertise", &raw.advertise)?,
             peer_advertise: optional("peer_advertise", &raw.peer_advertise)?,
-            platform: base_url(file, &raw.platform)?,
+            platform: check_base_url(file, &raw.platform)?,
             seeds: seeds?,
-            address_keep_ms: keep(file, raw.address_keep_ms.as_ref())?,
+            address_keep_ms: check_address_keep_ms(file, raw.address_keep_ms.as_ref())?,
             statsd: optional("statsd", &raw.statsd)?,
         })
     }
 }
 
-fn to_text(address: SocketAddr) -> EcoString {
+fn format_address(address: SocketAddr) -> EcoString {
     ecow::eco_format!("{address}")
 }
 
 /// The platform's base URL.
-fn base_url(file: &str, value: &Spanned<EcoString>) -> Result<EcoString, Problem> {
+fn check_base_url(file: &str, value: &Spanned<EcoString>) -> Result<EcoString, Diagnostic> {
     let address = value.value.strip_prefix("http://").map(|rest| rest.trim_end_matches('/'));
     if address.is_none_or(|address| address.parse::<SocketAddr>().is_err()) {
         let message = format!("`platform` is `{}`, which is no base URL", value.value);
-        return Err(Problem::new(file, value.referenced, message, "write http://IP:PORT"));
+        return Err(Diagnostic::at_location(
+            file,
+            value.referenced,
+            message,
+            "write http://IP:PORT",
+        ));
     }
     Ok(value.value.trim_end_matches('/').into())
 }
 
 /// How long callers may keep an address list.
-fn keep(file: &str, value: Option<&Spanned<u64>>) -> Result<u64, Problem> {
+fn check_address_keep_ms(file: &str, value: Option<&Spanned<u64>>) -> Result<u64, Diagnostic> {
     let Some(value) = value else { return Ok(DEFAULT_ADDRESS_KEEP_MS) };
-    between(file, "address_keep_ms", value, 1, MAX_ADDRESS_KEEP_MS)
+    require_in_range(file, "address_keep_ms", value, 1, MAX_ADDRESS_KEEP_MS)
 }
--- a/crates/sassafrasproxy-config/src/publish.rs
+++ b/crates/sassafrasproxy-config/src/publisher.rs
@@ -7,23 +7,23 @@
 use sassafrasproxy_wire::{Configuration, ConfigurationHead, ServiceSpec};
 
 use crate::chunks::to_json;
-use crate::{AssembleError, Chunk, assemble, chunk_services, read_head};
+use crate::{AssembleError, Chunk, assemble_configuration, chunk_services, parse_head};
 
 /// How often a change of a failure domain is applied anew after losing a race.
-const MAX_RACES: u32 = 16;
+const MAX_PREPARE_ATTEMPTS: u32 = 16;
 
 /// How often a call with an unknown effect is settled by reading before giving up.
-const MAX_UNKNOWN: u32 = 8;
+const MAX_UNKNOWN_RESULTS: u32 = 8;
 
 /// A change that an operator publishes.
 #[derive(Debug, Clone, PartialEq)]
-pub enum Change {
+pub enum PublishRequest {
     /// Replaces all services; failure domains stay as they are.
-    Services {
+    ReplaceServices {
         /// The services.
         services: IndexMap<EcoString, ServiceSpec>,
         /// The revision that must be in place, if the operator named one.
-        expect: Option<u64>,
+        expected_revision: Option<u64>,
     },
     /// Takes a failure domain out.
     DomainOut(EcoString),
@@ -78,7 +78,7 @@
         name: EcoString,
     },
     /// Show the operator what changes; then go on with [`PublishEvent::Shown`].
-    Show(Vec<ConfigurationChange>),
+    ShowChanges(Vec<ConfigurationChange>),
     /// Write a chunk that must not exist; that it does exist is as good.
     WriteChunk(Chunk),
     /// Write the head if the store still has the revision named.
@@ -86,7 +86,7 @@
         /// Its text.
         text: EcoString,
         /// The store's revision of the head that is replaced; 0 for none.
-        expect: u64,
+        expected_store_revision: u64,
     },
     /// Remove a chunk that no head names any more; best effort.
     DeleteChunk {
@@ -94,7 +94,7 @@
         name: EcoString,
     },
     /// Nothing more.
-    End(PublishEnd),
+    Finish(PublishOutcome),
 }
 
 /// What came of a step.
@@ -103,11 +103,11 @@
     /// The publisher starts.
     Start,
     /// The head was read.
-    Head(Option<(EcoString, u64)>),
+    HeadRead(Option<(EcoString, u64)>),
     /// A chunk was read.
-    Chunk(Option<EcoString>),
+    ChunkRead(Option<EcoString>),
     /// The changes were shown.
-    Shown,
+    ChangesShown,
     /// A write took effect, or a chunk was there already.
     Written,
     /// A write found another revision in place.
@@ -118,7 +118,7 @@
 
 /// How publishing ended.
 #[derive(Debug, Clone, PartialEq)]
-pub enum PublishEnd {
+pub enum PublishOutcome {
     /// The change is committed at this revision.
     Done {
         /// The revision.
@@ -156,62 +156,62 @@
 
 /// A publishing that runs.
 #[derive(Debug)]
-pub struct Publish {
-    change: Change,
+pub struct Publisher {
+    request: PublishRequest,
     publish_id: EcoString,
     published_by: EcoString,
-    state: State,
+    state: PublisherState,
     /// What is in place, as read last.
-    base: Option<Base>,
+    base: Option<BaseHead>,
     /// What was in place when the publisher started.
-    first: Option<Configuration>,
+    initial_configuration: Option<Configuration>,
     chunk_texts: IndexMap<EcoString, EcoString>,
-    to_write: VecDeque<Chunk>,
-    to_delete: VecDeque<EcoString>,
+    chunks_to_write: VecDeque<Chunk>,
+    chunks_to_delete: VecDeque<EcoString>,
     head_text: EcoString,
     next_revision: u64,
-    races: u32,
-    unknowns: u32,
+    prepare_attempts: u32,
+    unknown_results: u32,
     was_head_sent: bool,
     was_shown: bool,
 }
 
 /// A head with the store's revision of it.
 #[derive(Debug, Clone)]
-struct Base {
+struct BaseHead {
     head: ConfigurationHead,
     store_revision: u64,
 }
 
 /// The step that runs.
 #[derive(Debug, Clone, PartialEq)]
-enum State {
+enum PublisherState {
     Idle,
     ReadingHead,
     ReadingChunk(EcoString),
-    Showing,
+    ShowingChanges,
     WritingChunk,
     WritingHead,
-    Deleting,
+    DeletingChunks,
 }
 
-impl Publish {
+impl Publisher {
     /// A publishing that has not started; `publish_id` must be unique.
-    pub fn new(change: Change, publish_id: EcoString, published_by: EcoString) -> Self {
+    pub fn new(request: PublishRequest, publish_id: EcoString, published_by: EcoString) -> Self {
         Self {
-            change,
+            request,
             publish_id,
             published_by,
-            state: State::Idle,
+            state: PublisherState::Idle,
             base: None,
-            first: None,
+            initial_configuration: None,
             chunk_texts: IndexMap::new(),
-            to_write: VecDeque::new(),
-            to_delete: VecDeque::new(),
+            chunks_to_write: VecDeque::new(),
+            chunks_to_delete: VecDeque::new(),
             head_text: EcoString::new(),
             next_revision: 0,
-            races: 0,
-            unknowns: 0,
+            prepare_attempts: 0,
+            unknown_results: 0,
             was_head_sent: false,
             was_shown: false,
         }
@@ -220,44 +220,46 @@
     /// Takes what came of the last step in and returns the next.
     pub fn step(&mut self, event: PublishEvent) -> PublishStep {
         match (self.state.clone(), event) {
-            (State::Idle, _) => self.read_head(),
-            (State::ReadingHead, PublishEvent::Head(head)) => self.head_read(head),
-            (State::ReadingChunk(name), PublishEvent::Chunk(Some(text))) => {
+            (PublisherState::Idle, _) => self.read_head(),
+            (PublisherState::ReadingHead, PublishEvent::HeadRead(head)) => self.handle_head(head),
+            (PublisherState::ReadingChunk(name), PublishEvent::ChunkRead(Some(text))) => {
                 self.chunk_texts.insert(name, text);
                 self.read_chunks()
             }
             // The head was replaced and its chunks removed while this publisher read them.
-            (State::ReadingChunk(_), PublishEvent::Chunk(None)) => self.again(),
-            (State::Showing, _) => self.write_next(),
-            (State::WritingChunk, PublishEvent::Written | PublishEvent::Conflict) => {
-                self.to_write.pop_front();
+            (PublisherState::ReadingChunk(_), PublishEvent::ChunkRead(None)) => self.retry(),
+            (PublisherState::ShowingChanges, _) => self.write_next(),
+            (PublisherState::WritingChunk, PublishEvent::Written | PublishEvent::Conflict) => {
+                self.chunks_to_write.pop_front();
                 self.write_next()
             }
-            (State::WritingHead, PublishEvent::Written) => self.committed(),
-            (State::WritingHead, PublishEvent::Conflict) => self.read_head(),
-            (State::Deleting, _) => self.delete_next(),
-            (_, _) => self.again(),
+            (PublisherState::WritingHead, PublishEvent::Written) => self.handle_commit(),
+            (PublisherState::WritingHead, PublishEvent::Conflict) => self.read_head(),
+            (PublisherState::DeletingChunks, _) => self.delete_next(),
+            (_, _) => self.retry(),
         }
     }
 
     /// Repeats what is harmless to repeat: reads, and through them the settling of a lost answer.
-    fn again(&mut self) -> PublishStep {
-        self.unknowns += 1;
-        if self.unknowns <= MAX_UNKNOWN {
-            return match (&self.state, self.to_write.front()) {
-                (State::WritingChunk, Some(chunk)) => PublishStep::WriteChunk(chunk.clone()),
+    fn retry(&mut self) -> PublishStep {
+        self.unknown_results += 1;
+        if self.unknown_results <= MAX_UNKNOWN_RESULTS {
+            return match (&self.state, self.chunks_to_write.front()) {
+                (PublisherState::WritingChunk, Some(chunk)) => {
+                    PublishStep::WriteChunk(chunk.clone())
+                }
                 _ => self.read_head(),
             };
         }
         if self.was_head_sent {
             let publish_id = self.publish_id.clone();
-            return PublishStep::End(PublishEnd::UnknownOutcome { publish_id });
+            return PublishStep::Finish(PublishOutcome::UnknownOutcome { publish_id });
         }
-        PublishStep::End(PublishEnd::Unavailable)
+        PublishStep::Finish(PublishOutcome::Unavailable)
     }
 
     fn read_head(&mut self) -> PublishStep {
-        self.state = State::ReadingHead;
+        self.state = PublisherState::ReadingHead;
         PublishStep::ReadHead
     }
 
@@ -267,31 +269,31 @@
     /// publisher's id exactly if that write won and nothing followed it. A later publisher
     /// builds on the head that it read, so a chain of ids is not needed: if this write had won
     /// and been followed, the head in place has a higher revision than the one this wrote.
-    fn head_read(&mut self, head: Option<(EcoString, u64)>) -> PublishStep {
+    fn handle_head(&mut self, head: Option<(EcoString, u64)>) -> PublishStep {
         let base = match head {
             None => None,
-            Some((text, store_revision)) => match read_head(&text) {
-                Ok(head) => Some(Base { head, store_revision }),
-                Err(error) => return PublishStep::End(PublishEnd::Unreadable(error)),
+            Some((text, store_revision)) => match parse_head(&text) {
+                Ok(head) => Some(BaseHead { head, store_revision }),
+                Err(error) => return PublishStep::Finish(PublishOutcome::Unreadable(error)),
             },
         };
         if let Some(base) = &base
             && base.head.publish_id == self.publish_id
         {
             self.next_revision = base.head.revision;
-            return self.committed();
+            return self.handle_commit();
         }
-        if self.was_head_sent && self.is_lost_for_good(base.as_ref()) {
+        if self.was_head_sent && self.may_have_been_replaced(base.as_ref()) {
             let publish_id = self.publish_id.clone();
-            return PublishStep::End(PublishEnd::UnknownOutcome { publish_id });
+            return PublishStep::Finish(PublishOutcome::UnknownOutcome { publish_id });
         }
         self.base = base;
         self.read_chunks()
     }
 
     /// Whether a head that was sent may have won and been replaced since.
-    fn is_lost_for_good(&self, base: Option<&Base>) -> bool {
-        self.unknowns > 0 && base.is_some_and(|base| base.head.revision > self.next_revision)
+    fn may_have_been_replaced(&self, base: Option<&BaseHead>) -> bool {
+        self.unknown_results > 0 && base.is_some_and(|base| base.head.revision > self.next_revision)
     }
 
     /// Reads the chunks that are in place, then works the change out.
@@ -302,67 +304,75 @@
             .flat_map(|head| &head.chunks)
             .find(|name| !self.chunk_texts.contains_key(*name));
         if let Some(name) = missing.cloned() {
-            self.state = State::ReadingChunk(name.clone());
+            self.state = PublisherState::ReadingChunk(name.clone());
             return PublishStep::ReadChunk { name };
         }
-        let current = match head.map(|head| assemble(head, &self.chunk_texts)).transpose() {
-            Ok(current) => current.unwrap_or_default(),
-            Err(error) => return PublishStep::End(PublishEnd::Unreadable(error)),
-        };
-        self.prepare(current)
+        let current =
+            match head.map(|head| assemble_configuration(head, &self.chunk_texts)).transpose() {
+                Ok(current) => current.unwrap_or_default(),
+                Err(error) => return PublishStep::Finish(PublishOutcome::Unreadable(error)),
+            };
+        self.prepare_change(current)
     }
 
     /// Works out what to write.
-    fn prepare(&mut self, current: Configuration) -> PublishStep {
-        if let Some(end) = self.conflict(&current) {
-            return PublishStep::End(end);
+    fn prepare_change(&mut self, current: Configuration) -> PublishStep {
+        if let Some(end) = self.check_conflict(&current) {
+            return PublishStep::Finish(end);
         }
-        self.first.get_or_insert_with(|| current.clone());
+        self.initial_configuration.get_or_insert_with(|| current.clone());
         let mut wanted = current.clone();
-        match &self.change {
-            Change::Services { services, .. } => wanted.services.clone_from(services),
-            Change::DomainOut(domain) | Change::DomainIn(domain) => {
+        match &self.request {
+            PublishRequest::ReplaceServices { services, .. } => {
+                wanted.services.clone_from(services);
+            }
+            PublishRequest::DomainOut(domain) | PublishRequest::DomainIn(domain) => {
                 if !current.failure_domains().contains(domain) {
                     let declared = current.failure_domains().into_iter().cloned().collect();
-                    return PublishStep::End(PublishEnd::UnknownDomain { declared });
+                    return PublishStep::Finish(PublishOutcome::UnknownDomain { declared });
                 }
-                if matches!(self.change, Change::DomainOut(_)) {
+                if matches!(self.request, PublishRequest::DomainOut(_)) {
                     wanted.domains_out.insert(domain.clone());
                 } else {
                     wanted.domains_out.shift_remove(domain);
                 }
             }
         }
-        let changes = changes_between(&current, &wanted);
+        let changes = diff_configurations(&current, &wanted);
         if changes.is_empty() {
-            return PublishStep::End(PublishEnd::Unchanged { revision: current.revision });
+            return PublishStep::Finish(PublishOutcome::Unchanged { revision: current.revision });
         }
-        self.lay_out(&wanted);
+        self.build_chunks_and_head(&wanted);
         if std::mem::replace(&mut self.was_shown, true) {
             return self.write_next();
         }
-        self.state = State::Showing;
-        PublishStep::Show(changes)
+        self.state = PublisherState::ShowingChanges;
+        PublishStep::ShowChanges(changes)
     }
 
     /// Whether somebody else's change stands against this one.
     ///
     /// Taking a failure domain out or in goes with any other change and is applied anew; whole
     /// services do not, since the loser's files may lack what the winner published.
-    fn conflict(&mut self, current: &Configuration) -> Option<PublishEnd> {
-        let expected = match &self.change {
-            Change::Services { expect: Some(expect), .. } => Some(*expect),
-            Change::Services { expect: None, .. } => self.first.as_ref().map(|one| one.revision),
-            Change::DomainOut(_) | Change::DomainIn(_) => None,
+    fn check_conflict(&mut self, current: &Configuration) -> Option<PublishOutcome> {
+        let expected = match &self.request {
+            PublishRequest::ReplaceServices { expected_revision: Some(expect), .. } => {
+                Some(*expect)
+            }
+            PublishRequest::ReplaceServices { expected_revision: None, .. } => {
+                self.initial_configuration.as_ref().map(|one| one.revision)
+            }
+            PublishRequest::DomainOut(_) | PublishRequest::DomainIn(_) => None,
         };
-        self.races += 1;
+        self.prepare_attempts += 1;
         let is_stale = expected.is_some_and(|expected| expected != current.revision);
-        if !is_stale && self.races <= MAX_RACES {
+        if !is_stale && self.prepare_attempts <= MAX_PREPARE_ATTEMPTS {
             return None;
         }
         let published_by = self.base.as_ref().map(|base| base.head.published_by.clone());
-        let differs = self.first.as_ref().map(|first| changes_between(first, current));
-        Some(PublishEnd::Conflict {
+        let differs =
+            self.initial_configuration.as_ref().map(|first| diff_configurations(first, current));
+        Some(PublishOutcome::Conflict {
             revision: current.revision,
             published_by: published_by.unwrap_or_default(),
             differs: differs.unwrap_or_default(),
@@ -370,14 +380,15 @@
     }
 
     /// Lays out chunks and head.
-    fn lay_out(&mut self, wanted: &Configuration) {
+    fn build_chunks_and_head(&mut self, wanted: &Configuration) {
         let old: IndexSet<EcoString> =
             self.base.iter().flat_map(|base| base.head.chunks.iter().cloned()).collect();
         self.next_revision = wanted.revision + 1;
         let chunks = chunk_services(&wanted.services, self.next_revision, &old);
         let new: IndexSet<EcoString> = chunks.iter().map(|chunk| chunk.name.clone()).collect();
-        self.to_delete = old.difference(&new).cloned().collect();
-        self.to_write = chunks.into_iter().filter(|chunk| !old.contains(&chunk.name)).collect();
+        self.chunks_to_delete = old.difference(&new).cloned().collect();
+        self.chunks_to_write =
+            chunks.into_iter().filter(|chunk| !old.contains(&chunk.name)).collect();
         let head = ConfigurationHead {
             revision: self.next_revision,
             publish_id: self.publish_id.clone(),
@@ -390,37 +401,37 @@
 
     /// Writes the next chunk, or the head after the last.
     fn write_next(&mut self) -> PublishStep {
-        if let Some(chunk) = self.to_write.front() {
-            self.state = State::WritingChunk;
+        if let Some(chunk) = self.chunks_to_write.front() {
+            self.state = PublisherState::WritingChunk;
             return PublishStep::WriteChunk(chunk.clone());
         }
-        self.state = State::WritingHead;
+        self.state = PublisherState::WritingHead;
         self.was_head_sent = true;
         let expect = self.base.as_ref().map_or(0, |base| base.store_revision);
-        PublishStep::WriteHead { text: self.head_text.clone(), expect }
+        PublishStep::WriteHead { text: self.head_text.clone(), expected_store_revision: expect }
     }
 
     /// Removes what the new head does not name; a reader of the old head reads the new one.
-    fn committed(&mut self) -> PublishStep {
-        self.state = State::Deleting;
+    fn handle_commit(&mut self) -> PublishStep {
+        self.state = PublisherState::DeletingChunks;
         self.delete_next()
     }
 
     fn delete_next(&mut self) -> PublishStep {
-        match self.to_delete.pop_front() {
+        match self.chunks_to_delete.pop_front() {
             Some(name) => PublishStep::DeleteChunk { name },
-            None => PublishStep::End(PublishEnd::Done { revision: self.next_revision }),
+            None => PublishStep::Finish(PublishOutcome::Done { revision: self.next_revision }),
         }
     }
 }
 
 /// What differs between two configurations.
-pub fn changes_between(old: &Configuration, new: &Configuration) -> Vec<ConfigurationChange> {
+pub fn diff_configurations(old: &Configuration, new: &Configuration) -> Vec<ConfigurationChange> {
     let mut changes = Vec::new();
     for (name, service) in &new.services {
         match old.services.get(name) {
             None => changes.push(ConfigurationChange::ServiceAdded { service: name.clone() }),
-            Some(known) if known != service => changes.push(service_change(known, service)),
+            Some(known) if known != service => changes.push(diff_service(known, service)),
             Some(_) => {}
         }
     }
@@ -439,7 +450,7 @@
 }
 
 /// How a service differs.
-fn service_change(old: &ServiceSpec, new: &ServiceSpec) -> ConfigurationChange {
+fn diff_service(old: &ServiceSpec, new: &ServiceSpec) -> ConfigurationChange {
     let only_in = |one: &ServiceSpec, other: &ServiceSpec| {
         one.upstreams.iter().filter(|upstream| !other.upstreams.contains(upstream)).count()
     };
--- a/crates/sassafrasproxy-config/src/service_file.rs
+++ b/crates/sassafrasproxy-config/src/service_file.rs
@@ -5,21 +5,23 @@
 
 use ecow::{EcoString, eco_format};
 use indexmap::{IndexMap, IndexSet};
-use sassafrasproxy_wire::{Configuration, KindSpec, Limits, ServiceSpec, UpstreamSpec};
+use sassafrasproxy_wire::{
+    Configuration, ReplicaLimits, RequestKindSpec, ServiceSpec, UpstreamSpec,
+};
 use serde::Deserialize;
 use serde_saphyr::Spanned;
 
-use crate::Problem;
-use crate::problem::read_yaml;
+use crate::Diagnostic;
+use crate::diagnostic::read_yaml;
 
 /// The ending of a service file's name.
 pub const SERVICE_FILE_SUFFIX: &str = ".sassafras.yaml";
 
 /// How deep directories are searched for service files.
-const MAX_DEPTH: usize = 16;
+const MAX_DIRECTORY_DEPTH: usize = 16;
 
 /// What to do about a service file that cannot be read.
-const HINT: &str = "compare it with the service file in docs/OPERATIONS.md";
+const SERVICE_FILE_HINT: &str = "compare it with the service file in docs/OPERATIONS.md";
 
 /// A service as it stands in its file.
 #[derive(Debug)]
@@ -64,38 +66,40 @@
 
 /// Collects the checks of one or more files.
 #[derive(Debug, Default)]
-struct Checker {
-    problems: Vec<Problem>,
+struct ServiceFileChecker {
+    diagnostics: Vec<Diagnostic>,
     services: IndexMap<EcoString, ServiceSpec>,
     /// The file that names each service first.
-    service_files: IndexMap<EcoString, EcoString>,
+    file_by_service: IndexMap<EcoString, EcoString>,
     /// The file that names each upstream address first.
-    address_files: IndexMap<EcoString, EcoString>,
+    file_by_address: IndexMap<EcoString, EcoString>,
 }
 
 /// Reads and checks every service file below some directories.
 ///
 /// Returns the services by name, in the order of their files' names, or every problem found.
-pub fn read_services(dirs: &[PathBuf]) -> Result<IndexMap<EcoString, ServiceSpec>, Vec<Problem>> {
-    let mut checker = Checker::default();
+pub fn read_services(
+    dirs: &[PathBuf],
+) -> Result<IndexMap<EcoString, ServiceSpec>, Vec<Diagnostic>> {
+    let mut checker = ServiceFileChecker::default();
     let mut files = Vec::new();
     for dir in dirs {
-        if let Err(problem) = find_files(dir, MAX_DEPTH, &mut files) {
-            checker.problems.push(problem);
+        if let Err(problem) = find_service_files(dir, MAX_DIRECTORY_DEPTH, &mut files) {
+            checker.diagnostics.push(problem);
         }
     }
     files.sort();
     files.dedup();
     for file in &files {
-        checker.read(file);
+        checker.read_file(file);
     }
-    if files.is_empty() && checker.problems.is_empty() {
+    if files.is_empty() && checker.diagnostics.is_empty() {
         let dir = dirs.first().map_or_else(String::new, |dir| dir.display().to_string());
         let message = format!("no file ends in `{SERVICE_FILE_SUFFIX}`");
         let hint = "name a directory with service files, one a service";
-        checker.problems.push(Problem::whole(&dir, message, hint));
+        checker.diagnostics.push(Diagnostic::for_file(&dir, message, hint));
     }
-    if checker.problems.is_empty() { Ok(checker.services) } else { Err(checker.problems) }
+    if checker.diagnostics.is_empty() { Ok(checker.services) } else { Err(checker.diagnostics) }
 }
 
 /// Checks what a node must be able to rely on, whoever published the configuration.
@@ -129,15 +133,19 @@
 }
 
 /// Finds service files below a directory.
-fn find_files(dir: &Path, depth: usize, files: &mut Vec<PathBuf>) -> Result<(), Problem> {
+fn find_service_files(
+    dir: &Path,
+    depth: usize,
+    files: &mut Vec<PathBuf>,
+) -> Result<(), Diagnostic> {
     let problem = |error: std::io::Error| {
         let file = dir.display().to_string();
-        Problem::whole(&file, error.to_string(), "name a directory that can be read")
+        Diagnostic::for_file(&file, error.to_string(), "name a directory that can be read")
     };
     for entry in std::fs::read_dir(dir).map_err(problem)? {
         let path = entry.map_err(problem)?.path();
         if path.is_dir() && depth > 0 {
-            find_files(&path, depth - 1, files)?;
+            find_service_files(&path, depth - 1, files)?;
         } else if path.to_string_lossy().ends_with(SERVICE_FILE_SUFFIX) {
             files.push(path);
         }
@@ -145,25 +153,25 @@
     Ok(())
 }
 
-impl Checker {
+impl ServiceFileChecker {
     /// Reads one file and adds its service or its problems.
-    fn read(&mut self, path: &Path) {
+    fn read_file(&mut self, path: &Path) {
         let file = path.display().to_string();
         let text = match std::fs::read_to_string(path) {
             Ok(text) => text,
             Err(error) => {
                 let hint = "make the file readable";
-                return self.problems.push(Problem::whole(&file, error.to_string(), hint));
+                return self.diagnostics.push(Diagnostic::for_file(&file, error.to_string(), hint));
             }
         };
-        match read_yaml::<ServiceFile>(&file, &text, HINT) {
-            Ok(raw) => self.check(&file, &raw),
-            Err(problem) => self.problems.push(problem),
+        match read_yaml::<ServiceFile>(&file, &text, SERVICE_FILE_HINT) {
+            Ok(raw) => self.check_service(&file, &raw),
+            Err(problem) => self.diagnostics.push(problem),
         }
     }
 
     /// Checks one service and adds it.
-    fn check(&mut self, file: &str, raw: &ServiceFile) {
+    fn check_service(&mut self, file: &str, raw: &ServiceFile) {
         self.check_names(file, raw);
         self.check_limits(file, raw);
         self.check_kinds(file, raw);
@@ -171,13 +179,14 @@
             raw.failure_domains.value.iter().map(|domain| domain.value.clone()).collect();
         let upstreams = self.check_upstreams(file, raw, &domains);
         let limits = &raw.limits.value;
-        let kind = |kind: &KindEntry| KindSpec { idempotent: kind.idempotent, hedge: kind.hedge };
+        let kind =
+            |kind: &KindEntry| RequestKindSpec { idempotent: kind.idempotent, hedge: kind.hedge };
         let spec = ServiceSpec {
             service: raw.service.value.clone(),
             index: raw.index.value.clone(),
             failure_domains: domains,
             upstreams,
-            limits: Limits {
+            limits: ReplicaLimits {
                 slots: limits.slots,
                 connections: limits.connections,
                 queue: limits.queue,
@@ -200,17 +209,22 @@
             if is_bad {
                 let message = format!("`{field}` is `{}`", value.value);
                 let hint = "give it a name without a slash";
-                self.problems.push(Problem::new(file, value.referenced, message, hint));
+                self.diagnostics.push(Diagnostic::at_location(
+                    file,
+                    value.referenced,
+                    message,
+                    hint,
+                ));
             }
         }
         let name = &raw.service;
-        if let Some(first) = self.service_files.get(&name.value) {
+        if let Some(first) = self.file_by_service.get(&name.value) {
             let message = format!("service `{}` is also declared in {first}", name.value);
             let hint = "keep one of the two files, or rename one service";
-            self.problems.push(Problem::new(file, name.referenced, message, hint));
+            self.diagnostics.push(Diagnostic::at_location(file, name.referenced, message, hint));
             return;
         }
-        self.service_files.insert(name.value.clone(), file.into());
+        self.file_by_service.insert(name.value.clone(), file.into());
     }
 
     /// Checks limits and deadline.
@@ -220,12 +234,12 @@
         if slots == 0 || connections < slots {
             let message = format!("`limits` has slots {slots} and connections {connections}");
             let hint = "use at least 1 slot and at least as many connections as slots";
-            self.problems.push(Problem::new(file, limits.referenced, message, hint));
+            self.diagnostics.push(Diagnostic::at_location(file, limits.referenced, message, hint));
         }
         if raw.deadline_ms.value == 0 {
             let hint = "give the milliseconds that a request may take, as 90";
             let at = raw.deadline_ms.referenced;
-            self.problems.push(Problem::new(file, at, "`deadline_ms` is 0", hint));
+            self.diagnostics.push(Diagnostic::at_location(file, at, "`deadline_ms` is 0", hint));
         }
     }
 
@@ -234,14 +248,19 @@
         if raw.kinds.value.is_empty() {
             let hint = "declare at least one kind, as `search: { idempotent: true }`";
             let at = raw.kinds.referenced;
-            self.problems.push(Problem::new(file, at, "`kinds` is empty", hint));
+            self.diagnostics.push(Diagnostic::at_location(file, at, "`kinds` is empty", hint));
         }
         for (name, kind) in &raw.kinds.value {
             if kind.value.hedge && !kind.value.idempotent {
                 let message = format!("kind `{name}` has `hedge` but is not idempotent");
                 let hint =
                     "drop `hedge`, or declare it idempotent if running it twice does no harm";
-                self.problems.push(Problem::new(file, kind.referenced, message, hint));
+                self.diagnostics.push(Diagnostic::at_location(
+                    file,
+                    kind.referenced,
+                    message,
+                    hint,
+                ));
             }
         }
     }
@@ -256,7 +275,7 @@
         if raw.upstreams.value.is_empty() {
             let hint = "name at least one replica";
             let at = raw.upstreams.referenced;
-            self.problems.push(Problem::new(file, at, "`upstreams` is empty", hint));
+            self.diagnostics.push(Diagnostic::at_location(file, at, "`upstreams` is empty", hint));
         }
         for upstream in &raw.upstreams.value {
             self.check_upstream(file, upstream, domains);
@@ -275,19 +294,19 @@
         if address.value.parse::<SocketAddr>().is_err() {
             let message = format!("upstream `{}` is no address", address.value);
             let hint = "write IP number and port, as 127.0.1.1:7101";
-            self.problems.push(Problem::new(file, address.referenced, message, hint));
+            self.diagnostics.push(Diagnostic::at_location(file, address.referenced, message, hint));
         }
-        if let Some(first) = self.address_files.get(&address.value) {
+        if let Some(first) = self.file_by_address.get(&address.value) {
             let message = format!("upstream `{}` is also named in {first}", address.value);
             let hint = "name each replica once; its slots have one owner";
-            self.problems.push(Problem::new(file, address.referenced, message, hint));
+            self.diagnostics.push(Diagnostic::at_location(file, address.referenced, message, hint));
         }
-        self.address_files.insert(address.value.clone(), file.into());
+        self.file_by_address.insert(address.value.clone(), file.into());
         let domain = &upstream.failure_domain;
         if !domains.contains(&domain.value) {
             let message = format!("`failure_domain` `{}` is not declared", domain.value);
             let hint = "add it to this file's `failure_domains`, or mend its spelling";
-            self.problems.push(Problem::new(file, domain.referenced, message, hint));
+            self.diagnostics.push(Diagnostic::at_location(file, domain.referenced, message, hint));
         }
         let mut seen = IndexSet::new();
         let is_bad = |shard: &Spanned<EcoString>| shard.value.trim().is_empty();
@@ -297,7 +316,7 @@
             let at = twice.map_or(upstream.shards.referenced, |shard| shard.referenced);
             let message = "`shards` is empty, or names one shard twice";
             let hint = "name each shard that the replica may hold once";
-            self.problems.push(Problem::new(file, at, message, hint));
+            self.diagnostics.push(Diagnostic::at_location(file, at, message, hint));
         }
     }
 }
--- a/crates/sassafrasproxy-config/tests/gateway_files.rs
+++ b/crates/sassafrasproxy-config/tests/gateway_settings.rs
@@ -4,7 +4,7 @@
 
 use sassafrasproxy_config::GatewaySettings;
 
-const GOOD: &str = "\
+const VALID_SETTINGS: &str = "\
 name: vm-1
 failure_domain: galway-1
 callers_listen: 127.0.0.1:8104
@@ -22,8 +22,8 @@
 ";
 
 #[test]
-fn good() {
-    let settings = GatewaySettings::parse("gateway.yaml", GOOD).unwrap();
+fn accepts_valid_settings() {
+    let settings = GatewaySettings::parse("gateway.yaml", VALID_SETTINGS).unwrap();
     assert_eq!(settings.name, "vm-1");
     assert_eq!(settings.seeds.len(), 1);
     assert_eq!((settings.metrics_listen, settings.relay_advertise), (None, None));
@@ -32,44 +32,54 @@
 
 /// A node that peers reach at another address than the one on which it listens.
 #[test]
-fn relay_elsewhere() {
-    let text = format!("{GOOD}relay_advertise: 10.1.0.9:7380\n");
+fn reads_relay_advertise() {
+    let text = format!("{VALID_SETTINGS}relay_advertise: 10.1.0.9:7380\n");
     let settings = GatewaySettings::parse("gateway.yaml", &text).unwrap();
     assert_eq!(settings.relay_advertise, Some("10.1.0.9:7380".parse().unwrap()));
 }
 
 /// Without the section there are no roll-outs, and all versions of a service are alike.
 #[test]
-fn rollouts() {
-    let settings = GatewaySettings::parse("gateway.yaml", GOOD).unwrap();
+fn rollouts_section_is_optional() {
+    let settings = GatewaySettings::parse("gateway.yaml", VALID_SETTINGS).unwrap();
     assert_eq!(settings.rollouts, None);
-    let text = format!("{GOOD}rollouts: {{ exposure_share: 0.1, exposure_slack: 50 }}\n");
+    let text = format!("{VALID_SETTINGS}rollouts: {{ exposure_share: 0.1, exposure_slack: 50 }}\n");
     let rollouts = GatewaySettings::parse("gateway.yaml", &text).unwrap().rollouts.unwrap();
     assert_eq!((rollouts.exposure_share, rollouts.exposure_slack), (0.1, 50.0));
 }
 
 /// Each wrong file is named with the line and the field, and with what to write instead.
 #[test]
-fn wrong() {
+fn rejects_invalid_settings() {
     let cases = [
-        ("missing", GOOD.replace("grace_ms: 6000\n", ""), 0, "grace_ms"),
-        ("unknown", format!("{GOOD}colour: red\n"), 15, "colour"),
-        ("empty", GOOD.replace("vm-1", "\"\""), 1, "`name`"),
-        ("host name", GOOD.replace("127.0.0.1:8104", "localhost:8104"), 3, "`callers_listen`"),
-        ("relay", format!("{GOOD}relay_advertise: there\n"), 15, "`relay_advertise`"),
-        ("no port", GOOD.replace("127.0.0.1:8102", "127.0.0.1"), 8, "`store`"),
-        ("bad seed", GOOD.replace("127.0.0.2:8106", "peer"), 9, "`seeds`"),
-        ("no core", GOOD.replace("0.25", "-1"), 10, "`cpu_share`"),
-        ("no keep time", GOOD.replace("1000\n", "0\n"), 11, "`address_keep_ms`"),
-        ("negative", GOOD.replace("ratio: 0.2", "ratio: -0.2"), 13, "`retry_budget.ratio`"),
-        ("no window", GOOD.replace("10000", "0"), 13, "`retry_budget.window_ms`"),
+        ("missing", VALID_SETTINGS.replace("grace_ms: 6000\n", ""), 0, "grace_ms"),
+        ("unknown", format!("{VALID_SETTINGS}colour: red\n"), 15, "colour"),
+        ("empty", VALID_SETTINGS.replace("vm-1", "\"\""), 1, "`name`"),
+        (
+            "host name",
+            VALID_SETTINGS.replace("127.0.0.1:8104", "localhost:8104"),
+            3,
+            "`callers_listen`",
+        ),
+        ("relay", format!("{VALID_SETTINGS}relay_advertise: there\n"), 15, "`relay_advertise`"),
+        ("no port", VALID_SETTINGS.replace("127.0.0.1:8102", "127.0.0.1"), 8, "`store`"),
+        ("bad seed", VALID_SETTINGS.replace("127.0.0.2:8106", "peer"), 9, "`seeds`"),
+        ("no core", VALID_SETTINGS.replace("0.25", "-1"), 10, "`cpu_share`"),
+        ("no keep time", VALID_SETTINGS.replace("1000\n", "0\n"), 11, "`address_keep_ms`"),
+        (
+            "negative",
+            VALID_SETTINGS.replace("ratio: 0.2", "ratio: -0.2"),
+            13,
+            "`retry_budget.ratio`",
+        ),
+        ("no window", VALID_SETTINGS.replace("10000", "0"), 13, "`retry_budget.window_ms`"),
         (
             "more than all",
-            format!("{GOOD}rollouts: {{ exposure_share: 1.5, exposure_slack: 50 }}\n"),
+            format!("{VALID_SETTINGS}rollouts: {{ exposure_share: 1.5, exposure_slack: 50 }}\n"),
             15,
             "`rollouts.exposure_share`",
         ),
-        ("not a number", GOOD.replace("slack: 5", "slack: .nan"), 14, "`warmup.slack`"),
+        ("not a number", VALID_SETTINGS.replace("slack: 5", "slack: .nan"), 14, "`warmup.slack`"),
     ];
     for (name, text, line, field) in cases {
         let problem = GatewaySettings::parse("gateway.yaml", &text).unwrap_err();
--- a/crates/sassafrasproxy-config/tests/service_files.rs
+++ b/crates/sassafrasproxy-config/tests/service_files.rs
@@ -4,10 +4,10 @@
 
 use std::path::PathBuf;
 
-use sassafrasproxy_config::{Problem, read_services};
+use sassafrasproxy_config::{Diagnostic, read_services};
 use tempfile::TempDir;
 
-const GOOD: &str = "\
+const VALID_SERVICE_FILE: &str = "\
 service: art-archive
 index: catalogue
 failure_domains: [galway-1, galway-2]
@@ -22,7 +22,7 @@
 ";
 
 /// Writes files and reads the services below their directory.
-fn check(files: &[(&str, &str)]) -> Result<Vec<String>, Vec<Problem>> {
+fn read_service_files(files: &[(&str, &str)]) -> Result<Vec<String>, Vec<Diagnostic>> {
     let dir = TempDir::new().unwrap();
     for (name, text) in files {
         let path = dir.path().join(name);
@@ -34,43 +34,75 @@
 }
 
 #[test]
-fn good() {
-    let desk = GOOD.replace("art-archive", "counter-desk").replace("127.0.1", "127.0.2");
+fn accepts_valid_service_files() {
+    let desk =
+        VALID_SERVICE_FILE.replace("art-archive", "counter-desk").replace("127.0.1", "127.0.2");
     let files = [
-        ("art/art.sassafras.yaml", GOOD),
+        ("art/art.sassafras.yaml", VALID_SERVICE_FILE),
         ("desk/deep/desk.sassafras.yaml", desk.as_str()),
         ("desk/other.yaml", "not: ours"),
     ];
-    assert_eq!(check(&files).unwrap(), ["art-archive", "counter-desk"]);
+    assert_eq!(read_service_files(&files).unwrap(), ["art-archive", "counter-desk"]);
 }
 
 #[test]
-fn wrong() {
+fn rejects_invalid_service_file() {
     let cases = [
-        ("unknown field", GOOD.replace("index:", "colour: red\nindex:"), 2, "colour"),
-        ("missing field", GOOD.replace("deadline_ms: 90\n", ""), 0, "deadline_ms"),
-        ("unknown in limits", GOOD.replace("queue: 64", "queue: 64, x: 1"), 7, "x"),
-        ("empty name", GOOD.replace("art-archive", "\"\""), 1, "`service`"),
-        ("slash in a name", GOOD.replace("art-archive", "art/archive"), 1, "art/archive"),
-        ("unknown domain", GOOD.replace("domain: galway-2", "domain: galway-3"), 6, "galway-3"),
-        ("host name", GOOD.replace("127.0.1.2:7101", "archive:7101"), 6, "archive:7101"),
-        ("duplicate address", GOOD.replace("127.0.1.2", "127.0.1.1"), 6, "127.0.1.1:7101"),
-        ("no shards", GOOD.replacen("[s0, s1]", "[]", 1), 5, "shards"),
-        ("shard twice", GOOD.replacen("[s0, s1]", "[s0, s0]", 1), 5, "shards"),
-        ("no slots", GOOD.replace("slots: 2", "slots: 0"), 7, "slots"),
-        ("few connections", GOOD.replace("connections: 25", "connections: 1"), 7, "connections 1"),
-        ("no deadline", GOOD.replace("deadline_ms: 90", "deadline_ms: 0"), 8, "deadline_ms"),
+        ("unknown field", VALID_SERVICE_FILE.replace("index:", "colour: red\nindex:"), 2, "colour"),
+        ("missing field", VALID_SERVICE_FILE.replace("deadline_ms: 90\n", ""), 0, "deadline_ms"),
+        ("unknown in limits", VALID_SERVICE_FILE.replace("queue: 64", "queue: 64, x: 1"), 7, "x"),
+        ("empty name", VALID_SERVICE_FILE.replace("art-archive", "\"\""), 1, "`service`"),
+        (
+            "slash in a name",
+            VALID_SERVICE_FILE.replace("art-archive", "art/archive"),
+            1,
+            "art/archive",
+        ),
+        (
+            "unknown domain",
+            VALID_SERVICE_FILE.replace("domain: galway-2", "domain: galway-3"),
+            6,
+            "galway-3",
+        ),
+        (
+            "host name",
+            VALID_SERVICE_FILE.replace("127.0.1.2:7101", "archive:7101"),
+            6,
+            "archive:7101",
+        ),
+        (
+            "duplicate address",
+            VALID_SERVICE_FILE.replace("127.0.1.2", "127.0.1.1"),
+            6,
+            "127.0.1.1:7101",
+        ),
+        ("no shards", VALID_SERVICE_FILE.replacen("[s0, s1]", "[]", 1), 5, "shards"),
+        ("shard twice", VALID_SERVICE_FILE.replacen("[s0, s1]", "[s0, s0]", 1), 5, "shards"),
+        ("no slots", VALID_SERVICE_FILE.replace("slots: 2", "slots: 0"), 7, "slots"),
+        (
+            "few connections",
+            VALID_SERVICE_FILE.replace("connections: 25", "connections: 1"),
+            7,
+            "connections 1",
+        ),
+        (
+            "no deadline",
+            VALID_SERVICE_FILE.replace("deadline_ms: 90", "deadline_ms: 0"),
+            8,
+            "deadline_ms",
+        ),
         (
             "hedged reorder",
-            GOOD.replace("{ idempotent: false }", "{ idempotent: false, hedge: true }"),
+            VALID_SERVICE_FILE
+                .replace("{ idempotent: false }", "{ idempotent: false, hedge: true }"),
             11,
             "reorder",
         ),
-        ("kind twice", GOOD.replace("reorder:", "search:"), 11, "search"),
+        ("kind twice", VALID_SERVICE_FILE.replace("reorder:", "search:"), 11, "search"),
         ("no YAML", "service: [".to_owned(), 1, ""),
     ];
     for (name, text, line, named) in cases {
-        let problems = check(&[("art.sassafras.yaml", &text)]).unwrap_err();
+        let problems = read_service_files(&[("art.sassafras.yaml", &text)]).unwrap_err();
         assert_eq!(problems.len(), 1, "{name}: {problems:?}");
         let problem = &problems[0];
         assert!(problem.file.ends_with("art.sassafras.yaml"), "{name}");
@@ -81,20 +113,22 @@
 }
 
 #[test]
-fn across_files() {
-    let other_address = GOOD.replace("127.0.1", "127.0.2");
-    let files = [("a.sassafras.yaml", GOOD), ("b.sassafras.yaml", other_address.as_str())];
-    let problems = check(&files).unwrap_err();
+fn rejects_duplicates_across_files() {
+    let other_address = VALID_SERVICE_FILE.replace("127.0.1", "127.0.2");
+    let files =
+        [("a.sassafras.yaml", VALID_SERVICE_FILE), ("b.sassafras.yaml", other_address.as_str())];
+    let problems = read_service_files(&files).unwrap_err();
     assert!(problems[0].message.contains("also declared in"), "{}", problems[0]);
 
-    let other_name = GOOD.replace("art-archive", "counter-desk");
-    let files = [("a.sassafras.yaml", GOOD), ("b.sassafras.yaml", other_name.as_str())];
-    let problems = check(&files).unwrap_err();
+    let other_name = VALID_SERVICE_FILE.replace("art-archive", "counter-desk");
+    let files =
+        [("a.sassafras.yaml", VALID_SERVICE_FILE), ("b.sassafras.yaml", other_name.as_str())];
+    let problems = read_service_files(&files).unwrap_err();
     assert_eq!(problems.len(), 2, "both addresses");
 }
 
 #[test]
-fn nothing_found() {
-    assert!(check(&[("readme.txt", "")]).is_err());
+fn rejects_directory_without_service_files() {
+    assert!(read_service_files(&[("readme.txt", "")]).is_err());
     assert!(read_services(&[PathBuf::from("no-such-directory")]).is_err());
 }
--- a/crates/sassafrasproxy-core/src/claims/log.rs
+++ b/crates/sassafrasproxy-core/src/claims/log.rs
@@ -3,7 +3,7 @@
 use ecow::{EcoString, eco_format};
 use indexmap::IndexMap;
 use sassafrasproxy_wire::{
-    ClaimAnswer, ClaimRecord, ClaimRequest, ClaimSegment, Ending, RecordRequest,
+    ClaimAnswer, ClaimLogRecord, ClaimLogSegment, ClaimRequest, Ending, RecordEndingRequest,
 };
 
 use super::StoreCall;
@@ -53,10 +53,10 @@
         let Some(segment) = parse_segment(text) else { return };
         for record in segment.records {
             match record {
-                ClaimRecord::Sealed => self.is_sealed = true,
-                ClaimRecord::Claim(request) if !self.is_sealed => self.apply_claim(request),
-                ClaimRecord::Claim(_) => {}
-                ClaimRecord::Ending(request) => self.apply_ending(request),
+                ClaimLogRecord::Sealed => self.is_sealed = true,
+                ClaimLogRecord::Claim(request) if !self.is_sealed => self.apply_claim(request),
+                ClaimLogRecord::Claim(_) => {}
+                ClaimLogRecord::Ending(request) => self.apply_ending(request),
             }
         }
     }
@@ -72,7 +72,7 @@
         }
     }
 
-    fn apply_ending(&mut self, request: RecordRequest) {
+    fn apply_ending(&mut self, request: RecordEndingRequest) {
         if let Some(holder) = self.holders.get_mut(&request.key)
             && holder.token == request.token
         {
@@ -97,10 +97,10 @@
 }
 
 /// Parses a segment; returns `None` if the text is not a valid one.
-pub fn parse_segment(text: &str) -> Option<ClaimSegment> {
+pub fn parse_segment(text: &str) -> Option<ClaimLogSegment> {
     serde_json::from_str(text).ok()
 }
 
-pub fn segment_to_json(segment: &ClaimSegment) -> EcoString {
+pub fn segment_to_json(segment: &ClaimLogSegment) -> EcoString {
     serde_json::to_string(segment).expect("claim types always serialize").into()
 }
--- a/crates/sassafrasproxy-core/src/claims/message.rs
+++ b/crates/sassafrasproxy-core/src/claims/message.rs
@@ -1,7 +1,7 @@
 //! Events that a claim bucket handles and effects that it requests.
 
 use ecow::EcoString;
-use sassafrasproxy_wire::{ClaimAnswer, ClaimRequest, RecordRequest};
+use sassafrasproxy_wire::{ClaimAnswer, ClaimRequest, RecordEndingRequest};
 
 /// The timing parameters of a claim bucket.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -45,7 +45,7 @@
         request: ClaimRequest,
     },
     /// An ingress node reports how a request ended.
-    RecordEnding(RecordRequest),
+    RecordEnding(RecordEndingRequest),
     /// The call in flight has finished.
     CallFinished(StoreResult),
     /// The time that [`ClaimBucket::next_timer_us`](crate::ClaimBucket::next_timer_us) returned
--- a/crates/sassafrasproxy-core/src/claims/mod.rs
+++ b/crates/sassafrasproxy-core/src/claims/mod.rs
@@ -15,7 +15,7 @@
 
 use ecow::{EcoString, eco_format};
 use sassafrasproxy_wire::{
-    ClaimAnswer, ClaimRecord, ClaimRequest, ClaimSegment, Ending, RecordRequest,
+    ClaimAnswer, ClaimLogRecord, ClaimLogSegment, ClaimRequest, Ending, RecordEndingRequest,
 };
 
 pub use self::message::*;
@@ -73,13 +73,13 @@
 
 #[derive(Debug)]
 struct PendingRecord {
-    record: ClaimRecord,
+    record: ClaimLogRecord,
     claim_id: Option<ClaimId>,
 }
 
 #[derive(Debug)]
 struct ClaimBatch {
-    segment: ClaimSegment,
+    segment: ClaimLogSegment,
     claim_ids: Vec<Option<ClaimId>>,
     /// Whether its write failed but may have taken effect, so that the key must be read.
     is_unconfirmed: bool,
@@ -149,15 +149,15 @@
             let answer = ClaimAnswer::Unavailable;
             return self.effects.push(ClaimEffect::Answer { claim_id, answer });
         }
-        let record = ClaimRecord::Claim(request);
+        let record = ClaimLogRecord::Claim(request);
         self.pending.push(PendingRecord { record, claim_id: Some(claim_id) });
     }
 
     /// Queues an ending for the next write.
     ///
     /// An ending `NotRun` for a claim that is still queued removes the claim instead.
-    fn queue_ending(&mut self, request: RecordRequest) {
-        let is_its_claim = |pending: &PendingRecord| matches!(&pending.record, ClaimRecord::Claim(claim) if claim.token == request.token);
+    fn queue_ending(&mut self, request: RecordEndingRequest) {
+        let is_its_claim = |pending: &PendingRecord| matches!(&pending.record, ClaimLogRecord::Claim(claim) if claim.token == request.token);
         if request.ending == Ending::NotRun
             && let Some(index) = self.pending.iter().position(is_its_claim)
         {
@@ -166,7 +166,8 @@
             let refuse = |claim_id| ClaimEffect::Answer { claim_id, answer };
             return self.effects.extend(claim_id.map(refuse));
         }
-        self.pending.push(PendingRecord { record: ClaimRecord::Ending(request), claim_id: None });
+        self.pending
+            .push(PendingRecord { record: ClaimLogRecord::Ending(request), claim_id: None });
     }
 
     /// Returns the holder of a key in the current or previous epoch.
@@ -241,7 +242,7 @@
     /// Returns the write that seals the previous epoch's log.
     fn seal_call(&self) -> StoreCall {
         let batch = eco_format!("{}-seal", self.instance_id);
-        let segment = ClaimSegment { batch, records: vec![ClaimRecord::Sealed] };
+        let segment = ClaimLogSegment { batch, records: vec![ClaimLogRecord::Sealed] };
         StoreCall::Write { key: self.previous_log.next_key(), value: segment_to_json(&segment) }
     }
 
@@ -258,7 +259,7 @@
             let (records, claim_ids) =
                 drained.into_iter().map(|pending| (pending.record, pending.claim_id)).unzip();
             let batch = eco_format!("{}-{}", self.instance_id, self.next_batch_number);
-            let segment = ClaimSegment { batch, records };
+            let segment = ClaimLogSegment { batch, records };
             self.batch = Some(ClaimBatch { segment, claim_ids, is_unconfirmed: false });
         }
         let segment = self.batch.as_ref().map(|batch| segment_to_json(&batch.segment));
@@ -327,7 +328,7 @@
     fn answer_batch(&mut self) {
         let Some(batch) = self.batch.take() else { return };
         for (record, claim_id) in batch.segment.records.into_iter().zip(batch.claim_ids) {
-            let ClaimRecord::Claim(request) = record else { continue };
+            let ClaimLogRecord::Claim(request) = record else { continue };
             let ClaimRequest { key, token, .. } = request;
             let holder = self.holder(&key).cloned();
             let answer = match &holder {
@@ -338,7 +339,7 @@
             match claim_id {
                 Some(claim_id) => self.effects.push(ClaimEffect::Answer { claim_id, answer }),
                 None if answer == ClaimAnswer::Granted => {
-                    self.queue_ending(RecordRequest { key, token, ending: Ending::NotRun });
+                    self.queue_ending(RecordEndingRequest { key, token, ending: Ending::NotRun });
                 }
                 None => {}
             }
@@ -350,7 +351,7 @@
         let records = std::mem::take(&mut self.pending);
         for pending in records {
             let held = match (&pending.record, pending.claim_id) {
-                (ClaimRecord::Claim(request), Some(claim_id)) => self
+                (ClaimLogRecord::Claim(request), Some(claim_id)) => self
                     .holder(&request.key)
                     .map(|holder| (claim_id, holder.answer_claim(&request.token))),
                 _ => None,
@@ -407,14 +408,14 @@
 }
 
 /// Estimates the size of a record in the store.
-fn record_bytes(record: &ClaimRecord) -> usize {
+fn record_bytes(record: &ClaimLogRecord) -> usize {
     let text = match record {
-        ClaimRecord::Claim(request) => request.key.len(),
-        ClaimRecord::Ending(RecordRequest { key, ending, .. }) => match ending {
+        ClaimLogRecord::Claim(request) => request.key.len(),
+        ClaimLogRecord::Ending(RecordEndingRequest { key, ending, .. }) => match ending {
             Ending::Answered { text: Some(text) } => key.len() + 2 * text.len(),
             _ => key.len(),
         },
-        ClaimRecord::Sealed => 0,
+        ClaimLogRecord::Sealed => 0,
     };
     text + RECORD_OVERHEAD_BYTES
 }
--- a/crates/sassafrasproxy-core/src/control/message.rs
+++ b/crates/sassafrasproxy-core/src/control/message.rs
@@ -2,7 +2,7 @@
 
 use ecow::EcoString;
 use sassafrasproxy_wire::{
-    Configuration, EventKind, GroupHoldings, Heartbeat, NodeHoldings, VmEntry,
+    Configuration, GroupHoldings, Heartbeat, NodeHoldings, TimelineEventKind, VmEntry,
 };
 
 /// The timing parameters and limits of the control reducer.
@@ -156,5 +156,5 @@
     /// Publish the changed view to the traffic threads.
     PublishView,
     /// Record an event in the timeline.
-    RecordEvent(EventKind),
+    RecordEvent(TimelineEventKind),
 }
--- a/crates/sassafrasproxy-core/src/control/mod.rs
+++ b/crates/sassafrasproxy-core/src/control/mod.rs
@@ -11,8 +11,8 @@
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 use sassafrasproxy_wire::{
-    Configuration, EventKind, GroupHoldings, Heartbeat, Hlc, MemberState, MemberUpdate,
-    NodeHoldings, VmEntry, VmState,
+    Configuration, GroupHoldings, Heartbeat, Hlc, MemberState, MemberUpdate, NodeHoldings,
+    TimelineEventKind, VmEntry, VmState,
 };
 
 pub(crate) use self::members::MemberChange;
@@ -317,7 +317,7 @@
         self.groups = Arc::new(GroupTable::new(&configuration));
         let groups = self.groups.clone();
         self.local_holdings.retain(|group, _| groups.group(group).is_some());
-        self.effects.push(ControlEffect::RecordEvent(EventKind::RevisionInForce {
+        self.effects.push(ControlEffect::RecordEvent(TimelineEventKind::RevisionInForce {
             revision: configuration.revision,
             domains_out: configuration.domains_out.iter().cloned().collect(),
         }));
@@ -344,7 +344,7 @@
         if revision <= self.configuration.revision.max(known) {
             return;
         }
-        let kind = EventKind::RevisionRejected { revision, detail: detail.clone() };
+        let kind = TimelineEventKind::RevisionRejected { revision, detail: detail.clone() };
         self.effects.push(ControlEffect::RecordEvent(kind));
         self.rejected_revision = Some((revision, detail));
     }
@@ -429,7 +429,7 @@
             return;
         }
         self.members.leave(now_us);
-        self.effects.push(ControlEffect::RecordEvent(EventKind::NodeLeaving));
+        self.effects.push(ControlEffect::RecordEvent(TimelineEventKind::NodeLeaving));
         let peers: Vec<EcoString> =
             self.members.peers().map(|peer| peer.peer_address.clone()).collect();
         let probes = peers.into_iter().map(|peer_address| ControlEffect::Probe { peer_address });
@@ -443,7 +443,7 @@
         for MemberChange { node, state } in changes {
             self.needs_publish = true;
             self.changed_members.insert(node.clone());
-            let kind = EventKind::MemberChanged { member: node, state };
+            let kind = TimelineEventKind::MemberChanged { member: node, state };
             self.effects.push(ControlEffect::RecordEvent(kind));
         }
     }
--- a/crates/sassafrasproxy-core/src/forward/registry/discovery/events.rs
+++ b/crates/sassafrasproxy-core/src/forward/registry/discovery/events.rs
@@ -71,7 +71,7 @@
         /// The version of the ignored configuration.
         version: u64,
         /// The version of the active configuration.
-        in_force: u64,
+        active_version: u64,
     },
     /// A replica was added or changed.
     ReplicaUpdated {
--- a/crates/sassafrasproxy-core/src/forward/registry/discovery/mod.rs
+++ b/crates/sassafrasproxy-core/src/forward/registry/discovery/mod.rs
@@ -339,8 +339,10 @@
         let (version, in_force) = (configuration.version, self.configuration.version);
         if version <= in_force {
             if version < in_force {
-                self.log_events
-                    .push(DiscoveryLogEvent::OlderConfigurationIgnored { version, in_force });
+                self.log_events.push(DiscoveryLogEvent::OlderConfigurationIgnored {
+                    version,
+                    active_version: in_force,
+                });
             }
             return;
         }
--- a/crates/sassafrasproxy-core/src/forward/routing/shard_selection.rs
+++ b/crates/sassafrasproxy-core/src/forward/routing/shard_selection.rs
@@ -16,7 +16,7 @@
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct ShardSelection {
     /// The excluded shards, which the query does not ask.
-    pub skipped: Vec<usize>,
+    pub excluded: Vec<usize>,
     /// All shards with only slow replicas, if the query needs at least one of them and can get its
     /// parts in time; other queries should leave their slots to it.
     pub reserved: Vec<usize>,
@@ -52,5 +52,5 @@
         true => slow.iter().map(|(shard, _)| *shard).collect(),
         false => Vec::new(),
     };
-    ShardSelection { skipped, reserved }
+    ShardSelection { excluded: skipped, reserved }
 }
--- a/crates/sassafrasproxy-core/src/forward/sending/gather.rs
+++ b/crates/sassafrasproxy-core/src/forward/sending/gather.rs
@@ -16,7 +16,7 @@
     /// them.
     pub soft_deadline_us: u64,
     /// The deadline of the answer, in microseconds.
-    pub end_us: u64,
+    pub deadline_us: u64,
 }
 
 /// The part of a latency goal that is reserved for sending the answer, in microseconds; timers fire
@@ -84,10 +84,11 @@
     if pending == 0 || (is_enough && now_us >= plan.soft_deadline_us) {
         return GatherStep::Answer;
     }
-    if now_us >= plan.end_us {
+    if now_us >= plan.deadline_us {
         return GatherStep::GiveUp;
     }
-    let until_us = if is_enough { plan.soft_deadline_us.min(plan.end_us) } else { plan.end_us };
+    let until_us =
+        if is_enough { plan.soft_deadline_us.min(plan.deadline_us) } else { plan.deadline_us };
     GatherStep::Wait { until_us }
 }
 
--- a/crates/sassafrasproxy-core/src/homes.rs
+++ b/crates/sassafrasproxy-core/src/homes.rs
@@ -4,7 +4,7 @@
 
 use ecow::EcoString;
 use indexmap::{IndexMap, IndexSet};
-use sassafrasproxy_wire::{Configuration, Limits, ServiceSpec, ShardId, UpstreamSpec};
+use sassafrasproxy_wire::{Configuration, ReplicaLimits, ServiceSpec, ShardId, UpstreamSpec};
 use xxhash_rust::xxh3::{xxh3_64, xxh3_64_with_seed};
 
 use crate::{Member, View};
@@ -23,7 +23,7 @@
     /// The group's replicas; at least one.
     pub replicas: Vec<UpstreamSpec>,
     /// The limits of each replica.
-    pub limits: Limits,
+    pub limits: ReplicaLimits,
     /// The hash of the name, for rendezvous scores.
     pub name_hash: u64,
     /// The hashes of the replicas' failure domains, without duplicates.
--- a/crates/sassafrasproxy-core/src/query.rs
+++ b/crates/sassafrasproxy-core/src/query.rs
@@ -5,7 +5,8 @@
 use ecow::EcoString;
 use indexmap::IndexSet;
 use sassafrasproxy_wire::{
-    Coverage, EventKind, MissingShard, Outcome, Reason, ShardId, SnapshotId, SubOutcome,
+    Coverage, FailureReason, MissingShard, Outcome, ShardId, SnapshotId, SubRequestOutcome,
+    TimelineEventKind,
 };
 
 use crate::View;
@@ -56,7 +57,7 @@
         /// The request.
         token: ShardRequestToken,
         /// The answer.
-        outcome: SubOutcome,
+        outcome: SubRequestOutcome,
     },
     /// A shard request got no answer from its node.
     Unreachable {
@@ -93,7 +94,7 @@
         token: ShardRequestToken,
     },
     /// Record an event in the timeline.
-    RecordEvent(EventKind),
+    RecordEvent(TimelineEventKind),
     /// Answer the caller; no effect follows.
     Finish(QueryEnd),
 }
@@ -110,7 +111,7 @@
     /// For each covered shard, in the same order, the request whose body is its result.
     pub body_tokens: Vec<ShardRequestToken>,
     /// The reason of the first missing shard; `None` if every shard is covered.
-    pub reason: Option<Reason>,
+    pub reason: Option<FailureReason>,
     /// The retry delay; `None` if the query was answered or no shard is missing.
     pub retry_after_ms: Option<u64>,
 }
@@ -150,7 +151,7 @@
 enum ShardStatus {
     Pending,
     Covered(ShardRequestToken),
-    Missing { reason: Reason, retry_after_ms: u64, may_have_run: bool },
+    Missing { reason: FailureReason, retry_after_ms: u64, may_have_run: bool },
 }
 
 impl Query {
@@ -197,8 +198,8 @@
     /// Chooses a snapshot and requests every shard that is served in it.
     fn start(&mut self, view: &View) {
         let Some(plan) = QueryPlan::new(view, &self.spec.services, &self.unserved_snapshots) else {
-            let shards = declared_shards(view, &self.spec.services);
-            let missing = ShardStatus::missing(Reason::NoReplica);
+            let shards = known_shards(view, &self.spec.services);
+            let missing = ShardStatus::missing(FailureReason::NoReplica);
             self.shards =
                 shards.into_iter().map(|shard| ShardProgress::new(shard, missing)).collect();
             return;
@@ -208,7 +209,7 @@
             .shards
             .into_iter()
             .map(|(shard, is_served)| {
-                let missing = ShardStatus::missing(Reason::NoReplica);
+                let missing = ShardStatus::missing(FailureReason::NoReplica);
                 ShardProgress::new(shard, if is_served { ShardStatus::Pending } else { missing })
             })
             .collect();
@@ -224,25 +225,25 @@
         &mut self,
         now_us: u64,
         token: ShardRequestToken,
-        outcome: SubOutcome,
+        outcome: SubRequestOutcome,
         view: &View,
     ) {
         let Some(index) = self.take_open_request(token) else { return };
         match outcome {
-            SubOutcome::Answered => self.shards[index].state = ShardStatus::Covered(token),
-            SubOutcome::NotHome { may_have_run } => {
+            SubRequestOutcome::Answered => self.shards[index].state = ShardStatus::Covered(token),
+            SubRequestOutcome::NotHome { may_have_run } => {
                 self.may_have_run |= may_have_run;
                 self.request_next_node(index, view);
             }
-            SubOutcome::NotRun { reason: Reason::NotHeld, retry_after_ms } => {
+            SubRequestOutcome::NotRun { reason: FailureReason::NotHeld, retry_after_ms } => {
                 if !self.restart(now_us, view) {
-                    self.mark_missing(index, Reason::NotHeld, retry_after_ms, false);
+                    self.mark_missing(index, FailureReason::NotHeld, retry_after_ms, false);
                 }
             }
-            SubOutcome::NotRun { reason, retry_after_ms } => {
+            SubRequestOutcome::NotRun { reason, retry_after_ms } => {
                 self.mark_missing(index, reason, retry_after_ms, false);
             }
-            SubOutcome::Unknown { reason } => {
+            SubRequestOutcome::Unknown { reason } => {
                 self.mark_missing(index, reason, DEFAULT_RETRY_AFTER_MS, true);
             }
         }
@@ -264,7 +265,12 @@
     ) {
         let Some(index) = self.take_open_request(token) else { return };
         if may_have_arrived && !self.spec.is_idempotent {
-            return self.mark_missing(index, Reason::HomeUnreachable, DEFAULT_RETRY_AFTER_MS, true);
+            return self.mark_missing(
+                index,
+                FailureReason::HomeUnreachable,
+                DEFAULT_RETRY_AFTER_MS,
+                true,
+            );
         }
         self.may_have_run |= may_have_arrived;
         let shard = &mut self.shards[index];
@@ -288,7 +294,7 @@
             let may_have_run = self.may_have_run;
             return self.mark_missing(
                 index,
-                Reason::HomeUnreachable,
+                FailureReason::HomeUnreachable,
                 DEFAULT_RETRY_AFTER_MS,
                 may_have_run,
             );
@@ -331,7 +337,7 @@
         }
         self.abandon_all();
         self.restarts += 1;
-        let kind = EventKind::SnapshotChanged { from: old, to: plan.snapshot };
+        let kind = TimelineEventKind::SnapshotChanged { from: old, to: plan.snapshot };
         self.effects.push(QueryEffect::RecordEvent(kind));
         self.start(view);
         true
@@ -341,7 +347,7 @@
     fn mark_missing(
         &mut self,
         index: usize,
-        reason: Reason,
+        reason: FailureReason,
         retry_after_ms: u64,
         may_have_run: bool,
     ) {
@@ -382,7 +388,7 @@
         for shard in &mut self.shards {
             if shard.state == ShardStatus::Pending {
                 shard.state = ShardStatus::Missing {
-                    reason: Reason::DeadlineExceeded,
+                    reason: FailureReason::DeadlineExceeded,
                     retry_after_ms: DEFAULT_RETRY_AFTER_MS,
                     may_have_run: true,
                 };
@@ -396,7 +402,7 @@
     fn build_end(&self) -> QueryEnd {
         let mut coverage = Coverage::default();
         let mut body_tokens = Vec::new();
-        let mut first_missing: Option<(Reason, u64)> = None;
+        let mut first_missing: Option<(FailureReason, u64)> = None;
         let mut may_have_run = self.may_have_run;
         for shard in &self.shards {
             match shard.state {
@@ -451,7 +457,7 @@
 
 impl ShardStatus {
     /// Returns the status of a missing shard that was never requested.
-    fn missing(reason: Reason) -> Self {
+    fn missing(reason: FailureReason) -> Self {
         Self::Missing { reason, retry_after_ms: DEFAULT_RETRY_AFTER_MS, may_have_run: false }
     }
 }
@@ -508,7 +514,7 @@
         }
     }
     if layout.is_empty() {
-        let known = declared_shards(view, std::slice::from_ref(service));
+        let known = known_shards(view, std::slice::from_ref(service));
         return known.into_iter().map(|shard| (shard, false)).collect();
     }
     let shard = |name: &EcoString| ShardId::new(service.clone(), name.clone());
@@ -517,7 +523,7 @@
 
 /// Returns the shards in the newest known layout of each service; if none is known, those in the
 /// service's configuration.
-fn declared_shards(view: &View, services: &[EcoString]) -> Vec<ShardId> {
+fn known_shards(view: &View, services: &[EcoString]) -> Vec<ShardId> {
     let mut shards = Vec::new();
     for service in services {
         let groups = view.groups.groups_of(service);
--- a/crates/sassafrasproxy-core/src/scheduler/dispatch.rs
+++ b/crates/sassafrasproxy-core/src/scheduler/dispatch.rs
@@ -4,7 +4,7 @@
 
 use ecow::EcoString;
 use indexmap::IndexSet;
-use sassafrasproxy_wire::{EventKind, Reason, ShardId, SubOutcome};
+use sassafrasproxy_wire::{FailureReason, ShardId, SubRequestOutcome, TimelineEventKind};
 
 use super::replica::{Phase, Replica};
 use super::{
@@ -18,20 +18,20 @@
         let sub_request = spec.id;
         if self.suspects.is_quarantined(spec.fingerprint, now_us) {
             let retry_after_us = self.configuration.policy.quarantine_ttl_us;
-            return self.refuse_unqueued(sub_request, Reason::Quarantined, retry_after_us);
+            return self.refuse_unqueued(sub_request, FailureReason::Quarantined, retry_after_us);
         }
         let policy = &self.configuration.policy;
         if self.queue.len() >= policy.max_queued as usize {
             return self.refuse_unqueued(
                 sub_request,
-                Reason::Overloaded,
+                FailureReason::Overloaded,
                 policy.overload_retry_after_us,
             );
         }
         if now_us + self.estimate_completion_us(&spec) > spec.deadline_us {
             return self.refuse_unqueued(
                 sub_request,
-                Reason::Overloaded,
+                FailureReason::Overloaded,
                 policy.overload_retry_after_us,
             );
         }
@@ -79,16 +79,16 @@
     /// budget if the sub-request is sent and needs one.
     fn choose_replica(&mut self, now_us: u64, sub_request: SubRequestId) -> DispatchDecision {
         let Some(state) = self.pending.get(&sub_request) else {
-            return DispatchDecision::Refuse(Reason::CallerGone);
+            return DispatchDecision::Refuse(FailureReason::CallerGone);
         };
         if self.suspects.is_quarantined(state.spec.fingerprint, now_us) {
-            return DispatchDecision::Refuse(Reason::Quarantined);
+            return DispatchDecision::Refuse(FailureReason::Quarantined);
         }
         if self.must_wait_for_isolation(&state.spec) {
             return DispatchDecision::Wait;
         }
         if now_us + self.estimate_run_us(&state.spec.shard) > state.spec.deadline_us {
-            return DispatchDecision::Refuse(Reason::DeadlineExceeded);
+            return DispatchDecision::Refuse(FailureReason::DeadlineExceeded);
         }
         let usable = self.replicas.values().filter(|replica| replica.is_usable());
         let holders: Vec<&Replica> = usable
@@ -106,7 +106,7 @@
         };
         let address = best.spec.address.clone();
         if state.needs_budget && !self.budget.try_withdraw() {
-            let reason = state.last_reason.unwrap_or(Reason::UpstreamFailed);
+            let reason = state.last_reason.unwrap_or(FailureReason::UpstreamFailed);
             return DispatchDecision::Refuse(reason);
         }
         DispatchDecision::Send(address)
@@ -151,7 +151,7 @@
     /// Whether a probe checks for a crash of a replica that lost this sub-request's connection.
     fn awaits_crash_check(&self, spec: &SubRequestSpec) -> bool {
         let Some(state) = self.pending.get(&spec.id) else { return false };
-        state.last_reason == Some(Reason::ConnectionLost)
+        state.last_reason == Some(FailureReason::ConnectionLost)
             && state.failed_replicas.iter().any(|address| {
                 self.replicas.get(address).is_some_and(|replica| replica.awaited_probe_id.is_some())
             })
@@ -186,10 +186,14 @@
     }
 
     /// Returns the reason why no usable replica holds a shard.
-    fn no_holder_reason(&self, shard: &EcoString) -> Reason {
+    fn no_holder_reason(&self, shard: &EcoString) -> FailureReason {
         let mut may_hold =
             self.replicas.values().filter(|replica| replica.spec.shards.contains(shard));
-        if may_hold.any(Replica::is_usable) { Reason::NotHeld } else { Reason::NoReplica }
+        if may_hold.any(Replica::is_usable) {
+            FailureReason::NotHeld
+        } else {
+            FailureReason::NoReplica
+        }
     }
 
     /// Sends a sub-request to a replica.
@@ -269,7 +273,7 @@
             return;
         }
         self.send(now_us, sub_request, &address);
-        let kind = EventKind::Hedged { shard, replica: address };
+        let kind = TimelineEventKind::Hedged { shard, replica: address };
         self.effects.push(SchedulerEffect::RecordEvent { sub_request: Some(sub_request), kind });
     }
 
@@ -293,9 +297,14 @@
     }
 
     /// Refuses a sub-request that was never queued.
-    fn refuse_unqueued(&mut self, sub_request: SubRequestId, reason: Reason, retry_after_us: u64) {
+    fn refuse_unqueued(
+        &mut self,
+        sub_request: SubRequestId,
+        reason: FailureReason,
+        retry_after_us: u64,
+    ) {
         let retry_after_ms = retry_after_us / crate::US_PER_MS;
-        let outcome = SubOutcome::NotRun { reason, retry_after_ms };
+        let outcome = SubRequestOutcome::NotRun { reason, retry_after_ms };
         self.effects.push(SchedulerEffect::Reply { sub_request, outcome, attempt: None });
     }
 }
@@ -315,5 +324,5 @@
 enum DispatchDecision {
     Send(EcoString),
     Wait,
-    Refuse(Reason),
+    Refuse(FailureReason),
 }
--- a/crates/sassafrasproxy-core/src/scheduler/home.rs
+++ b/crates/sassafrasproxy-core/src/scheduler/home.rs
@@ -1,7 +1,7 @@
 //! Starts and ends a node's role as a group's home, and hands the group's state over.
 
 use ecow::EcoString;
-use sassafrasproxy_wire::{EventKind, HandOver, ReplicaHandOver, SubOutcome};
+use sassafrasproxy_wire::{HandOver, ReplicaHandOver, SubRequestOutcome, TimelineEventKind};
 
 use super::replica::{Phase, Replica};
 use super::{HomeRole, Scheduler, SchedulerEffect};
@@ -38,7 +38,7 @@
         for sub_request in std::mem::take(&mut self.queue) {
             let may_have_run =
                 self.pending.get(&sub_request).is_some_and(|state| state.may_have_run);
-            self.reply(sub_request, SubOutcome::NotHome { may_have_run }, None);
+            self.reply(sub_request, SubRequestOutcome::NotHome { may_have_run }, None);
         }
         self.send_hand_over(now_us, 0);
         for replica in self.replicas.values_mut() {
@@ -105,7 +105,7 @@
             return;
         }
         *limits_grow_from_us = now_us;
-        let kind = EventKind::HandOverTaken {
+        let kind = TimelineEventKind::HandOverTaken {
             group: self.configuration.group.clone(),
             from: hand_over.from.clone(),
         };
--- a/crates/sassafrasproxy-core/src/scheduler/message.rs
+++ b/crates/sassafrasproxy-core/src/scheduler/message.rs
@@ -5,7 +5,9 @@
 
 use ecow::EcoString;
 use indexmap::IndexSet;
-use sassafrasproxy_wire::{EventKind, HandOver, SnapshotId, SubOutcome, UpstreamStatus};
+use sassafrasproxy_wire::{
+    HandOver, SnapshotId, SubRequestOutcome, TimelineEventKind, UpstreamStatus,
+};
 
 /// Identifies a sub-request; assigned by the shell and unique within a scheduler.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -269,7 +271,7 @@
         /// The sub-request.
         sub_request: SubRequestId,
         /// The outcome.
-        outcome: SubOutcome,
+        outcome: SubRequestOutcome,
         /// The attempt whose body belongs to the answer.
         attempt: Option<AttemptId>,
     },
@@ -302,6 +304,6 @@
         /// The sub-request that the event belongs to, if any.
         sub_request: Option<SubRequestId>,
         /// The event.
-        kind: EventKind,
+        kind: TimelineEventKind,
     },
 }
--- a/crates/sassafrasproxy-core/src/scheduler/mod.rs
+++ b/crates/sassafrasproxy-core/src/scheduler/mod.rs
@@ -17,7 +17,8 @@
 use ecow::EcoString;
 use indexmap::IndexMap;
 use sassafrasproxy_wire::{
-    EventKind, GroupHoldings, Hlc, Reason, ReplicaStatus, SnapshotHolding, SnapshotId, SubOutcome,
+    FailureReason, GroupHoldings, Hlc, ReplicaStatus, SnapshotHolding, SnapshotId,
+    SubRequestOutcome, TimelineEventKind,
 };
 
 pub use self::budget::HedgeRetryBudget;
@@ -87,7 +88,7 @@
     /// Whether an attempt that ended without a good answer may have run.
     may_have_run: bool,
     /// The reason of its last failure, for the reply if it is not retried.
-    last_reason: Option<Reason>,
+    last_reason: Option<FailureReason>,
 }
 
 /// One attempt of a sub-request at a replica.
@@ -296,11 +297,11 @@
         let kind = match change {
             ReplicaChange::None => return,
             ReplicaChange::Limit => {
-                EventKind::ReplicaLimit { replica: address.clone(), limit: replica.limit }
+                TimelineEventKind::ReplicaLimit { replica: address.clone(), limit: replica.limit }
             }
             ReplicaChange::Phase(sign) => {
                 self.effects.push(SchedulerEffect::PublishHoldings);
-                EventKind::ReplicaPhase {
+                TimelineEventKind::ReplicaPhase {
                     replica: address.clone(),
                     phase: replica.phase.as_str().into(),
                     sign: sign.into(),
@@ -336,7 +337,7 @@
     fn reply(
         &mut self,
         sub_request: SubRequestId,
-        outcome: SubOutcome,
+        outcome: SubRequestOutcome,
         attempt: Option<AttemptId>,
     ) {
         let Some(state) = self.pending.swap_remove(&sub_request) else { return };
@@ -347,20 +348,24 @@
 
     /// Returns the outcome of a refused sub-request: `NotRun` if no attempt of it can have run,
     /// otherwise `Unknown`.
-    fn refusal_outcome(&self, sub_request: SubRequestId, reason: Reason) -> SubOutcome {
+    fn refusal_outcome(
+        &self,
+        sub_request: SubRequestId,
+        reason: FailureReason,
+    ) -> SubRequestOutcome {
         let may_have_run = self
             .pending
             .get(&sub_request)
             .is_none_or(|state| state.may_have_run || !state.active_attempts.is_empty());
         if may_have_run {
-            return SubOutcome::Unknown { reason };
+            return SubRequestOutcome::Unknown { reason };
         }
         let policy = &self.configuration.policy;
         let retry_after_us = match reason {
-            Reason::Quarantined => policy.quarantine_ttl_us,
+            FailureReason::Quarantined => policy.quarantine_ttl_us,
             _ => policy.overload_retry_after_us,
         };
-        SubOutcome::NotRun { reason, retry_after_ms: retry_after_us / crate::US_PER_MS }
+        SubRequestOutcome::NotRun { reason, retry_after_ms: retry_after_us / crate::US_PER_MS }
     }
 }
 
--- a/crates/sassafrasproxy-core/src/scheduler/replica.rs
+++ b/crates/sassafrasproxy-core/src/scheduler/replica.rs
@@ -11,10 +11,10 @@
 
 /// The time after a change of a replica's limit within which a restart counts as early; each early
 /// restart in a row raises the number of answers required before the limit grows.
-const EARLY_CRASH_WINDOW_US: u64 = 30_000_000;
+const EARLY_RESTART_WINDOW_US: u64 = 30_000_000;
 
 /// The maximum number of times that early restarts double the answers required for a slot.
-const MAX_EARLY_CRASH_DOUBLINGS: u32 = 6;
+const MAX_EARLY_RESTART_DOUBLINGS: u32 = 6;
 
 /// The number of slow answers in a row from which a serving replica counts as cold.
 const SLOW_ANSWERS_FOR_COLD: u32 = 3;
@@ -73,7 +73,7 @@
     /// Whether its last status reported it as cold.
     reports_cold: bool,
     /// The number of restarts in a row that came soon after its limit changed.
-    early_crashes: u32,
+    early_restarts: u32,
 }
 
 /// Whether and how far a replica can be used.
@@ -153,7 +153,7 @@
             limit_changed_us: 0,
             has_handed_over_limit: false,
             reports_cold: false,
-            early_crashes: 0,
+            early_restarts: 0,
         }
     }
 
@@ -291,8 +291,8 @@
         if is_first {
             return ReplicaChange::None;
         }
-        let is_early_restart = now_us < self.limit_changed_us + EARLY_CRASH_WINDOW_US;
-        self.early_crashes = if is_early_restart { self.early_crashes + 1 } else { 0 };
+        let is_early_restart = now_us < self.limit_changed_us + EARLY_RESTART_WINDOW_US;
+        self.early_restarts = if is_early_restart { self.early_restarts + 1 } else { 0 };
         self.reset_to_cold(now_us, "boot_id")
     }
 
@@ -418,7 +418,7 @@
     /// replica is serving.
     fn raise_limit(&mut self, now_us: u64, policy: &SchedulerPolicy) -> ReplicaChange {
         let required_answers = (policy.ramp_answers_per_slot * self.limit)
-            << self.early_crashes.min(MAX_EARLY_CRASH_DOUBLINGS);
+            << self.early_restarts.min(MAX_EARLY_RESTART_DOUBLINGS);
         let is_due = now_us >= self.limit_changed_us + policy.min_ramp_step_us
             && self.warm_answers >= required_answers;
         if !is_due || self.reports_cold || self.phase != Phase::Cold {
--- a/crates/sassafrasproxy-core/src/scheduler/results.rs
+++ b/crates/sassafrasproxy-core/src/scheduler/results.rs
@@ -2,7 +2,7 @@
 
 use ecow::EcoString;
 use indexmap::IndexSet;
-use sassafrasproxy_wire::{EventKind, Reason, ShardId, SubOutcome};
+use sassafrasproxy_wire::{FailureReason, ShardId, SubRequestOutcome, TimelineEventKind};
 
 use super::crash_suspects::CrashVerdict;
 use super::replica::{Phase, Replica};
@@ -32,24 +32,26 @@
             }
             AttemptResult::NotHeld => self.handle_not_held(now_us, &attempt),
             AttemptResult::NotSent => {
-                self.retry_or_reply(&attempt, Reason::DeadlineExceeded, false);
+                self.retry_or_reply(&attempt, FailureReason::DeadlineExceeded, false);
             }
             AttemptResult::ConnectFailed => {
                 self.update_replica(&attempt.replica, Replica::mark_down);
-                self.retry_or_reply(&attempt, Reason::ConnectFailed, false);
+                self.retry_or_reply(&attempt, FailureReason::ConnectFailed, false);
             }
             AttemptResult::ConnectionLost => self.handle_connection_lost(&attempt),
-            AttemptResult::TimedOut => self.handle_failure(&attempt, Reason::DeadlineExceeded),
+            AttemptResult::TimedOut => {
+                self.handle_failure(&attempt, FailureReason::DeadlineExceeded);
+            }
             AttemptResult::Mismatched => {
                 self.retire_connections(&attempt.replica);
-                self.handle_bad_answer(now_us, &attempt, Reason::Mismatched);
+                self.handle_bad_answer(now_us, &attempt, FailureReason::Mismatched);
             }
             AttemptResult::Malformed => {
                 self.retire_connections(&attempt.replica);
-                self.handle_bad_answer(now_us, &attempt, Reason::Malformed);
+                self.handle_bad_answer(now_us, &attempt, FailureReason::Malformed);
             }
             AttemptResult::Failed => {
-                self.handle_bad_answer(now_us, &attempt, Reason::UpstreamFailed);
+                self.handle_bad_answer(now_us, &attempt, FailureReason::UpstreamFailed);
             }
         }
     }
@@ -79,7 +81,7 @@
         let Some(state) = self.pending.get(&attempt.sub_request) else { return };
         let shard = state.spec.shard.clone();
         self.latencies.entry(shard).or_default().record(latency_us);
-        self.reply(attempt.sub_request, SubOutcome::Answered, Some(attempt_id));
+        self.reply(attempt.sub_request, SubRequestOutcome::Answered, Some(attempt_id));
     }
 
     /// Pauses a replica that shed a sub-request, and retries the sub-request, which did not run.
@@ -88,7 +90,7 @@
         self.update_replica(&attempt.replica, |replica| {
             replica.record_shed(now_us, retry_after_us, &policy)
         });
-        self.retry_or_reply(attempt, Reason::Shed, false);
+        self.retry_or_reply(attempt, FailureReason::Shed, false);
     }
 
     /// Stops asking a replica for a shard that it does not hold, reads its status and retries the
@@ -103,7 +105,7 @@
         }
         self.send_probe(&attempt.replica);
         self.effects.push(SchedulerEffect::PublishHoldings);
-        self.retry_or_reply(attempt, Reason::NotHeld, false);
+        self.retry_or_reply(attempt, FailureReason::NotHeld, false);
     }
 
     /// Probes the replica to find out whether it crashed; a retry waits until the probe ends.
@@ -115,11 +117,11 @@
         if let Some(replica) = self.replicas.get_mut(&attempt.replica) {
             replica.await_probe(probe_id, attempt.fingerprint);
         }
-        self.handle_failure(attempt, Reason::ConnectionLost);
+        self.handle_failure(attempt, FailureReason::ConnectionLost);
     }
 
     /// Handles a bad answer; several in a row make the scheduler back off from the replica.
-    fn handle_bad_answer(&mut self, now_us: u64, attempt: &Attempt, reason: Reason) {
+    fn handle_bad_answer(&mut self, now_us: u64, attempt: &Attempt, reason: FailureReason) {
         if let Some(replica) = self.replicas.get_mut(&attempt.replica) {
             replica.failure_backoff.record_failure(now_us);
         }
@@ -127,14 +129,14 @@
     }
 
     /// Handles a failed attempt that may have run.
-    fn handle_failure(&mut self, attempt: &Attempt, reason: Reason) {
+    fn handle_failure(&mut self, attempt: &Attempt, reason: FailureReason) {
         self.retry_or_reply(attempt, reason, true);
     }
 
     /// Queues a sub-request for a retry, or replies with a failure if it may not be sent again.
     ///
     /// Does neither while another attempt is active or the sub-request is queued already.
-    fn retry_or_reply(&mut self, attempt: &Attempt, reason: Reason, may_have_run: bool) {
+    fn retry_or_reply(&mut self, attempt: &Attempt, reason: FailureReason, may_have_run: bool) {
         let Some(state) = self.pending.get_mut(&attempt.sub_request) else { return };
         state.failed_replicas.push(attempt.replica.clone());
         state.last_reason = Some(reason);
@@ -143,7 +145,7 @@
             return;
         }
         if may_have_run && !state.spec.is_idempotent {
-            return self.reply(attempt.sub_request, SubOutcome::Unknown { reason }, None);
+            return self.reply(attempt.sub_request, SubRequestOutcome::Unknown { reason }, None);
         }
         if state.attempt_count >= MAX_ATTEMPTS {
             let outcome = self.refusal_outcome(attempt.sub_request, reason);
@@ -155,10 +157,10 @@
     }
 
     /// Records a retry on the timeline.
-    pub(super) fn record_retry(&mut self, sub_request: SubRequestId, reason: Reason) {
+    pub(super) fn record_retry(&mut self, sub_request: SubRequestId, reason: FailureReason) {
         let Some(state) = self.pending.get(&sub_request) else { return };
         let shard = ShardId::new(self.configuration.service.clone(), state.spec.shard.clone());
-        let kind = EventKind::Retried { shard, reason };
+        let kind = TimelineEventKind::Retried { shard, reason };
         self.effects.push(SchedulerEffect::RecordEvent { sub_request: Some(sub_request), kind });
     }
 
@@ -213,10 +215,10 @@
         let ttl_us = self.configuration.policy.quarantine_ttl_us;
         let text = ecow::eco_format!("{fingerprint:016x}");
         let kind = match self.suspects.record_crash(fingerprint, now_us, ttl_us) {
-            CrashVerdict::Suspected => EventKind::RequestSuspected { fingerprint: text },
+            CrashVerdict::Suspected => TimelineEventKind::RequestSuspected { fingerprint: text },
             CrashVerdict::Quarantined => {
                 self.effects.push(SchedulerEffect::AnnounceQuarantine { fingerprint, ttl_us });
-                EventKind::RequestQuarantined { fingerprint: text }
+                TimelineEventKind::RequestQuarantined { fingerprint: text }
             }
         };
         self.effects.push(SchedulerEffect::RecordEvent { sub_request: None, kind });
@@ -235,10 +237,11 @@
     }
 
     /// Returns the outcome of a sub-request whose deadline has passed.
-    fn overdue_outcome(&self, sub_request: SubRequestId) -> SubOutcome {
+    fn overdue_outcome(&self, sub_request: SubRequestId) -> SubRequestOutcome {
         let state = self.pending.get(&sub_request);
         let was_sent = state.is_some_and(|state| state.attempt_count > 0);
-        let default_reason = if was_sent { Reason::DeadlineExceeded } else { Reason::Overloaded };
+        let default_reason =
+            if was_sent { FailureReason::DeadlineExceeded } else { FailureReason::Overloaded };
         let reason = state.and_then(|state| state.last_reason).unwrap_or(default_reason);
         self.refusal_outcome(sub_request, reason)
     }
--- a/crates/sassafrasproxy-core/src/scheduler/stalls.rs
+++ b/crates/sassafrasproxy-core/src/scheduler/stalls.rs
@@ -1,7 +1,7 @@
 //! Detects stalled connections, retires them and resends the sub-requests sent on them.
 
 use ecow::EcoString;
-use sassafrasproxy_wire::{EventKind, Reason};
+use sassafrasproxy_wire::{FailureReason, TimelineEventKind};
 
 use super::replica::Replica;
 use super::{Attempt, AttemptId, Scheduler, SchedulerEffect, SubRequestId};
@@ -53,7 +53,7 @@
             return;
         }
         state.may_have_run = true;
-        state.last_reason = Some(Reason::ConnectionLost);
+        state.last_reason = Some(FailureReason::ConnectionLost);
         state.active_attempts.retain(|active| *active != attempt_id);
         // An active hedge may still answer; if it stalls as well, the sub-request is resent then.
         let is_idle = state.active_attempts.is_empty();
@@ -61,7 +61,7 @@
         self.cancel_all(&[attempt_id]);
         if is_idle {
             self.queue.push_front(sub_request);
-            self.record_retry(sub_request, Reason::ConnectionLost);
+            self.record_retry(sub_request, FailureReason::ConnectionLost);
         }
     }
 
@@ -110,7 +110,7 @@
         let Some(replica) = self.replicas.get_mut(address) else { return };
         replica.connection_generation += 1;
         self.effects.push(SchedulerEffect::RetireConnections { replica: address.clone() });
-        let kind = EventKind::ConnectionsCondemned { replica: address.clone() };
+        let kind = TimelineEventKind::ConnectionsCondemned { replica: address.clone() };
         self.effects.push(SchedulerEffect::RecordEvent { sub_request: None, kind });
     }
 }
--- a/crates/sassafrasproxy-core/tests/cluster/mod.rs
+++ b/crates/sassafrasproxy-core/tests/cluster/mod.rs
@@ -6,7 +6,8 @@
 use indexmap::{IndexMap, IndexSet};
 use sassafrasproxy_core::{ControlEffect, ControlEvent, ControlPlane, ControlPolicy, View};
 use sassafrasproxy_wire::{
-    Configuration, Heartbeat, Hlc, Limits, MemberState, MemberUpdate, ServiceSpec, UpstreamSpec,
+    Configuration, Heartbeat, Hlc, MemberState, MemberUpdate, ReplicaLimits, ServiceSpec,
+    UpstreamSpec,
 };
 
 /// One millisecond, in microseconds.
@@ -304,7 +305,7 @@
             index: "catalogue".into(),
             failure_domains: (0..domains).map(|domain| eco_format!("domain-{domain}")).collect(),
             upstreams: vec![upstream(0), upstream(1)],
-            limits: Limits { slots: 2, connections: 25, queue: 64 },
+            limits: ReplicaLimits { slots: 2, connections: 25, queue: 64 },
             deadline_ms: 90,
             kinds: IndexMap::new(),
         };
--- a/crates/sassafrasproxy-core/tests/combined_faults.rs
+++ b/crates/sassafrasproxy-core/tests/combined_faults.rs
@@ -8,7 +8,7 @@
 use indexmap::IndexMap;
 use proptest::prelude::*;
 use sassafrasproxy_core::{AttemptResult, SchedulerEvent, StatusReport, SubRequestId};
-use sassafrasproxy_wire::{Reason, SubOutcome, UpstreamState};
+use sassafrasproxy_wire::{FailureReason, SubRequestOutcome, UpstreamState};
 use scheduler_harness::{MS, SNAPSHOT, SchedulerHarness};
 
 /// One step of a run; an index is taken modulo the number of items.
@@ -184,14 +184,14 @@
         for (id, expected) in &self.expected {
             let is_open = harness.open_attempts.values().any(|(_, sub_request)| sub_request == id);
             match harness.replies.get(id) {
-                Some(SubOutcome::NotRun { reason, .. }) => {
+                Some(SubRequestOutcome::NotRun { reason, .. }) => {
                     assert!(!expected.may_have_run && !is_open, "{id:?} may have run: {reason}");
-                    assert_ne!(*reason, Reason::ConnectionLost);
+                    assert_ne!(*reason, FailureReason::ConnectionLost);
                 }
-                Some(SubOutcome::NotHome { may_have_run }) => {
+                Some(SubRequestOutcome::NotHome { may_have_run }) => {
                     assert!(*may_have_run || !expected.may_have_run && !is_open, "{id:?}");
                 }
-                Some(SubOutcome::Answered | SubOutcome::Unknown { .. }) | None => {}
+                Some(SubRequestOutcome::Answered | SubRequestOutcome::Unknown { .. }) | None => {}
             }
             if !expected.is_idempotent {
                 let runs = usize::from(expected.may_have_run) + usize::from(is_open);
--- a/crates/sassafrasproxy-core/tests/concurrency_limits.rs
+++ b/crates/sassafrasproxy-core/tests/concurrency_limits.rs
@@ -3,7 +3,7 @@
 mod scheduler_harness;
 
 use sassafrasproxy_core::{AttemptResult, SchedulerEvent, SchedulerPolicy};
-use sassafrasproxy_wire::{Reason, SubOutcome};
+use sassafrasproxy_wire::{FailureReason, SubRequestOutcome};
 use scheduler_harness::{MS, SchedulerHarness};
 
 #[test]
@@ -24,7 +24,8 @@
     let ids: Vec<_> = (0..12).map(|_| harness.submit()).collect();
     // Three cold replicas take one each, eight are queued, the twelfth is refused at once.
     assert_eq!(harness.replies.keys().copied().collect::<Vec<_>>(), [ids[11]]);
-    let refused = SubOutcome::NotRun { reason: Reason::Overloaded, retry_after_ms: 50 };
+    let refused =
+        SubRequestOutcome::NotRun { reason: FailureReason::Overloaded, retry_after_ms: 50 };
     assert_eq!(harness.replies[&ids[11]], refused);
 }
 
@@ -39,7 +40,10 @@
     let mut spec = harness.new_spec();
     spec.deadline_us = harness.now_us + 2 * MS;
     let id = harness.submit_spec(spec);
-    assert!(matches!(harness.replies[&id], SubOutcome::NotRun { reason: Reason::Overloaded, .. }));
+    assert!(matches!(
+        harness.replies[&id],
+        SubRequestOutcome::NotRun { reason: FailureReason::Overloaded, .. }
+    ));
 }
 
 #[test]
@@ -47,8 +51,8 @@
     let mut harness = SchedulerHarness::cold();
     let ids: Vec<_> = (0..4).map(|_| harness.submit()).collect();
     harness.advance(100 * MS);
-    assert!(matches!(harness.replies[&ids[3]], SubOutcome::NotRun { .. }), "never sent");
-    assert!(matches!(harness.replies[&ids[0]], SubOutcome::Unknown { .. }), "was sent");
+    assert!(matches!(harness.replies[&ids[3]], SubRequestOutcome::NotRun { .. }), "never sent");
+    assert!(matches!(harness.replies[&ids[0]], SubRequestOutcome::Unknown { .. }), "was sent");
 }
 
 // A cancelled request keeps running for a moment, so an upstream with two slots could get a third
@@ -73,7 +77,7 @@
     assert_ne!(harness.replica_of(id), first);
     assert_eq!(harness.limit(&first), 1, "the limit is halved");
     harness.end_first_attempt(id, AttemptResult::Answered);
-    assert_eq!(harness.replies[&id], SubOutcome::Answered);
+    assert_eq!(harness.replies[&id], SubRequestOutcome::Answered);
 }
 
 #[test]
@@ -86,7 +90,7 @@
         harness.end_first_attempt(id, AttemptResult::Shed { retry_after_us: 0 });
         harness.advance(20 * MS);
     }
-    let refused = SubOutcome::NotRun { reason: Reason::Shed, retry_after_ms: 50 };
+    let refused = SubRequestOutcome::NotRun { reason: FailureReason::Shed, retry_after_ms: 50 };
     assert_eq!(harness.replies[&id], refused);
 }
 
@@ -96,11 +100,11 @@
 #[test]
 fn failures_have_unknown_outcome() {
     let cases = [
-        (AttemptResult::ConnectionLost, Reason::ConnectionLost),
-        (AttemptResult::TimedOut, Reason::DeadlineExceeded),
-        (AttemptResult::Mismatched, Reason::Mismatched),
-        (AttemptResult::Malformed, Reason::Malformed),
-        (AttemptResult::Failed, Reason::UpstreamFailed),
+        (AttemptResult::ConnectionLost, FailureReason::ConnectionLost),
+        (AttemptResult::TimedOut, FailureReason::DeadlineExceeded),
+        (AttemptResult::Mismatched, FailureReason::Mismatched),
+        (AttemptResult::Malformed, FailureReason::Malformed),
+        (AttemptResult::Failed, FailureReason::UpstreamFailed),
     ];
     for (result, reason) in cases {
         let mut harness = SchedulerHarness::warm();
@@ -108,7 +112,11 @@
         (spec.is_idempotent, spec.may_hedge) = (false, false);
         let id = harness.submit_spec(spec);
         harness.end_first_attempt(id, result);
-        assert_eq!(harness.replies.get(&id), Some(&SubOutcome::Unknown { reason }), "{result:?}");
+        assert_eq!(
+            harness.replies.get(&id),
+            Some(&SubRequestOutcome::Unknown { reason }),
+            "{result:?}"
+        );
         assert_eq!(harness.attempts.len(), 1, "{result:?}: sent once");
     }
 }
@@ -119,7 +127,7 @@
     let id = harness.submit();
     harness.end_first_attempt(id, AttemptResult::Failed);
     harness.end_first_attempt(id, AttemptResult::Answered);
-    assert_eq!(harness.replies[&id], SubOutcome::Answered);
+    assert_eq!(harness.replies[&id], SubRequestOutcome::Answered);
     assert_eq!(harness.attempts.len(), 2);
 }
 
--- a/crates/sassafrasproxy-core/tests/faulty_replicas.rs
+++ b/crates/sassafrasproxy-core/tests/faulty_replicas.rs
@@ -3,7 +3,7 @@
 mod scheduler_harness;
 
 use sassafrasproxy_core::AttemptResult;
-use sassafrasproxy_wire::SubOutcome;
+use sassafrasproxy_wire::SubRequestOutcome;
 use scheduler_harness::{MS, SchedulerHarness};
 
 /// Runs `count` searches 10 ms apart; `is_good` decides by replica and time whether an answer is
@@ -25,7 +25,7 @@
             let result = if good { AttemptResult::Answered } else { AttemptResult::Mismatched };
             harness.end_first_attempt(id, result);
         }
-        answered += usize::from(harness.replies[&id] == SubOutcome::Answered);
+        answered += usize::from(harness.replies[&id] == SubRequestOutcome::Answered);
         harness.advance(5 * MS);
     }
     let attempts = &harness.attempts[attempts_before..];
