--- a/crates/sassafrasproxy-core/tests/gathers.rs
+++ b/crates/sassafrasproxy-core/tests/gathers.rs
@@ -6,7 +6,7 @@
 };
 
 const PLAN: GatherPlan =
-    GatherPlan { shards: 20, min_parts: 18, soft_deadline_us: 70, end_us: 390 };
+    GatherPlan { shards: 20, min_parts: 18, soft_deadline_us: 70, deadline_us: 390 };
 
 #[test]
 fn gather_steps() {
--- a/crates/sassafrasproxy-core/tests/hedging.rs
+++ b/crates/sassafrasproxy-core/tests/hedging.rs
@@ -3,7 +3,7 @@
 mod scheduler_harness;
 
 use sassafrasproxy_core::AttemptResult;
-use sassafrasproxy_wire::{EventKind, SubOutcome};
+use sassafrasproxy_wire::{SubRequestOutcome, TimelineEventKind};
 use scheduler_harness::{MS, SchedulerHarness};
 
 #[test]
@@ -18,7 +18,7 @@
     let first = harness.first_open_attempt(id);
     let second = *harness.open_attempts.keys().last().unwrap();
     harness.end_attempt(second, AttemptResult::Answered);
-    assert_eq!(harness.replies[&id], SubOutcome::Answered);
+    assert_eq!(harness.replies[&id], SubRequestOutcome::Answered);
     assert_eq!(harness.cancels, [first], "the slower attempt is cancelled");
 }
 
@@ -37,7 +37,7 @@
         harness.submit();
     }
     harness.advance(10 * MS);
-    assert!(!harness.events.iter().any(|kind| matches!(kind, EventKind::Hedged { .. })));
+    assert!(!harness.events.iter().any(|kind| matches!(kind, TimelineEventKind::Hedged { .. })));
 }
 
 #[test]
@@ -46,7 +46,7 @@
     let shed_id = harness.submit();
     harness.end_first_attempt(shed_id, AttemptResult::Shed { retry_after_us: 50 * MS });
     harness.advance(10 * MS);
-    assert!(!harness.events.iter().any(|kind| matches!(kind, EventKind::Hedged { .. })));
+    assert!(!harness.events.iter().any(|kind| matches!(kind, TimelineEventKind::Hedged { .. })));
 }
 
 #[test]
--- a/crates/sassafrasproxy-core/tests/home_hand_over.rs
+++ b/crates/sassafrasproxy-core/tests/home_hand_over.rs
@@ -3,7 +3,7 @@
 mod scheduler_harness;
 
 use sassafrasproxy_core::{AttemptResult, SchedulerEvent};
-use sassafrasproxy_wire::{SubOutcome, UpstreamState};
+use sassafrasproxy_wire::{SubRequestOutcome, UpstreamState};
 use scheduler_harness::{MS, SchedulerHarness};
 
 // Two nodes both consider themselves home for a few seconds, so that upstreams with two slots could
@@ -69,7 +69,7 @@
         assert_eq!((new.phase(replica).as_str(), new.limit(replica)), ("serving", 2));
     }
     new.end_first_attempt(id, AttemptResult::Answered);
-    assert_eq!(new.replies[&id], SubOutcome::Answered);
+    assert_eq!(new.replies[&id], SubRequestOutcome::Answered);
 }
 
 // A failure domain is taken out of service and homes move, with one usable replica left. The old
@@ -105,13 +105,13 @@
 
 // A planned move of a home must return the queued sub-requests, not lose or refuse them.
 #[test]
-fn queue_returned_to_entry() {
+fn queue_returned_to_ingress_node() {
     let mut harness = SchedulerHarness::warm();
     let ids: Vec<_> = (0..8).map(|_| harness.submit()).collect();
     harness.step(SchedulerEvent::LoseHome { local_node: "vm-1".into() });
-    assert_eq!(harness.replies[&ids[7]], SubOutcome::NotHome { may_have_run: false });
+    assert_eq!(harness.replies[&ids[7]], SubRequestOutcome::NotHome { may_have_run: false });
     harness.answer_all();
-    assert_eq!(harness.replies[&ids[0]], SubOutcome::Answered);
+    assert_eq!(harness.replies[&ids[0]], SubRequestOutcome::Answered);
 }
 
 #[test]
--- a/crates/sassafrasproxy-core/tests/poison_requests.rs
+++ b/crates/sassafrasproxy-core/tests/poison_requests.rs
@@ -3,7 +3,7 @@
 mod scheduler_harness;
 
 use sassafrasproxy_core::{AttemptResult, SchedulerEvent, SubRequestId};
-use sassafrasproxy_wire::{Reason, SubOutcome};
+use sassafrasproxy_wire::{FailureReason, SubRequestOutcome};
 use scheduler_harness::{MS, SchedulerHarness};
 
 const POISON: u64 = 666;
@@ -40,7 +40,8 @@
     }
     assert_eq!(crashes, 2);
     assert_eq!(harness.quarantined, [POISON]);
-    let refused = SubOutcome::NotRun { reason: Reason::Quarantined, retry_after_ms: 60_000 };
+    let refused =
+        SubRequestOutcome::NotRun { reason: FailureReason::Quarantined, retry_after_ms: 60_000 };
     assert_eq!(harness.replies[poison_ids.last().unwrap()], refused);
 }
 
@@ -69,7 +70,7 @@
         crash_poisoned_replicas(&mut harness, &poison_ids);
         poison_ids.push(submit_poison(&mut harness));
     }
-    assert_eq!(harness.replies[&harmless], SubOutcome::Answered);
+    assert_eq!(harness.replies[&harmless], SubRequestOutcome::Answered);
     assert_eq!(harness.quarantined, [POISON]);
 }
 
@@ -83,7 +84,7 @@
         harness.end_first_attempt(id, AttemptResult::ConnectionLost);
         harness.answer_probes(&[]);
         harness.end_first_attempt(id, AttemptResult::Answered);
-        assert_eq!(harness.replies[&id], SubOutcome::Answered);
+        assert_eq!(harness.replies[&id], SubRequestOutcome::Answered);
     }
     assert!(harness.quarantined.is_empty());
 }
@@ -95,10 +96,10 @@
     let refused = submit_poison(&mut harness);
     assert!(matches!(
         harness.replies[&refused],
-        SubOutcome::NotRun { reason: Reason::Quarantined, .. }
+        SubRequestOutcome::NotRun { reason: FailureReason::Quarantined, .. }
     ));
     harness.advance(1_001 * MS);
     let accepted = submit_poison(&mut harness);
     harness.end_first_attempt(accepted, AttemptResult::Answered);
-    assert_eq!(harness.replies[&accepted], SubOutcome::Answered);
+    assert_eq!(harness.replies[&accepted], SubRequestOutcome::Answered);
 }
--- a/crates/sassafrasproxy-core/tests/request_claims.rs
+++ b/crates/sassafrasproxy-core/tests/request_claims.rs
@@ -13,7 +13,7 @@
 use sassafrasproxy_core::{
     ClaimBucket, ClaimEffect, ClaimEvent, ClaimId, ClaimPolicy, StoreCall, StoreResult,
 };
-use sassafrasproxy_wire::{ClaimAnswer, ClaimRequest, Ending, RecordRequest};
+use sassafrasproxy_wire::{ClaimAnswer, ClaimRequest, Ending, RecordEndingRequest};
 
 /// One millisecond, in microseconds.
 const MS: u64 = 1_000;
@@ -123,7 +123,7 @@
         if ending == Ending::NotRun {
             self.grants[key][token] = true;
         }
-        let request = RecordRequest { key: key.into(), token: token.clone(), ending };
+        let request = RecordEndingRequest { key: key.into(), token: token.clone(), ending };
         self.step(node, ClaimEvent::RecordEnding(request));
     }
 
--- a/crates/sassafrasproxy-core/tests/scheduler_harness/mod.rs
+++ b/crates/sassafrasproxy-core/tests/scheduler_harness/mod.rs
@@ -8,7 +8,9 @@
     AttemptId, AttemptReport, AttemptResult, ReplicaSpec, Scheduler, SchedulerConfiguration,
     SchedulerEffect, SchedulerEvent, SchedulerPolicy, StatusReport, SubRequestId, SubRequestSpec,
 };
-use sassafrasproxy_wire::{EventKind, HeldSnapshot, SubOutcome, UpstreamState, UpstreamStatus};
+use sassafrasproxy_wire::{
+    HeldSnapshot, SubRequestOutcome, TimelineEventKind, UpstreamState, UpstreamStatus,
+};
 
 /// One millisecond, in microseconds.
 pub const MS: u64 = 1_000;
@@ -22,7 +24,7 @@
     pub configuration: SchedulerConfiguration,
     /// Attempts that have not ended, with their replica and sub-request.
     pub open_attempts: IndexMap<AttemptId, (EcoString, SubRequestId)>,
-    pub replies: IndexMap<SubRequestId, SubOutcome>,
+    pub replies: IndexMap<SubRequestId, SubRequestOutcome>,
     /// Every attempt so far, as replica and sub-request.
     pub attempts: Vec<(EcoString, SubRequestId)>,
     pub cancels: Vec<AttemptId>,
@@ -30,7 +32,7 @@
     pub retired_connections: Vec<EcoString>,
     pub quarantined: Vec<u64>,
     pub hand_overs: Vec<sassafrasproxy_wire::HandOver>,
-    pub events: Vec<EventKind>,
+    pub events: Vec<TimelineEventKind>,
     pub boot_numbers: IndexMap<EcoString, u32>,
     next_id: u64,
 }
--- a/crates/sassafrasproxy-core/tests/shard_selection.rs
+++ b/crates/sassafrasproxy-core/tests/shard_selection.rs
@@ -30,7 +30,7 @@
     let forecasts =
         [healthy(), slow_with_tokens(-0.5), slow_with_tokens(0.5), slow_with_tokens(-1.0)];
     let selection = select_shards(&forecasts, 2);
-    assert_eq!(selection.skipped, vec![1, 3]);
+    assert_eq!(selection.excluded, vec![1, 3]);
     let mut reserved = selection.reserved;
     reserved.sort_unstable();
     assert_eq!(reserved, vec![1, 2, 3]);
@@ -41,7 +41,10 @@
 #[test]
 fn reserved_by_other_queries() {
     let forecasts = [healthy(), healthy(), reserved_with_tokens(1.0), reserved_with_tokens(2.0)];
-    assert_eq!(select_shards(&forecasts, 2), ShardSelection { skipped: vec![2], reserved: vec![] });
+    assert_eq!(
+        select_shards(&forecasts, 2),
+        ShardSelection { excluded: vec![2], reserved: vec![] }
+    );
 }
 
 /// The needed slow shards are so overloaded that their parts will be late in any case. They are not
@@ -49,7 +52,10 @@
 #[test]
 fn needed_shards_overloaded() {
     let forecasts = [healthy(), slow_with_tokens(-3.0), slow_with_tokens(-2.5)];
-    assert_eq!(select_shards(&forecasts, 2), ShardSelection { skipped: vec![1], reserved: vec![] });
+    assert_eq!(
+        select_shards(&forecasts, 2),
+        ShardSelection { excluded: vec![1], reserved: vec![] }
+    );
 }
 
 /// Shards that cannot be asked count neither as slow nor as healthy. Otherwise a query would
@@ -57,7 +63,7 @@
 #[test]
 fn unavailable_shards() {
     let forecasts = [healthy(), None, slow_with_tokens(0.0), slow_with_tokens(0.2)];
-    assert_eq!(select_shards(&forecasts, 3).skipped, Vec::<usize>::new());
-    assert_eq!(select_shards(&forecasts, 2).skipped, vec![2]);
+    assert_eq!(select_shards(&forecasts, 3).excluded, Vec::<usize>::new());
+    assert_eq!(select_shards(&forecasts, 2).excluded, vec![2]);
     assert_eq!(select_shards(&[None, None], 1), ShardSelection::default());
 }
--- a/crates/sassafrasproxy-core/tests/shards/mod.rs
+++ b/crates/sassafrasproxy-core/tests/shards/mod.rs
@@ -66,7 +66,7 @@
 struct Node {
     pool: UpstreamPool,
     budget: RetryBudget,
-    times: Vec<RouteLatencies>,
+    latencies: Vec<RouteLatencies>,
     domain: usize,
 }
 
@@ -154,7 +154,7 @@
             let mut pool = UpstreamPool::new(settings);
             pool.update(0, &catalogue, workload.nodes);
             let times = workload.query_kinds.iter().map(|_| RouteLatencies::default()).collect();
-            Node { pool, budget: RetryBudget::new(policy, 0), times, domain }
+            Node { pool, budget: RetryBudget::new(policy, 0), latencies: times, domain }
         });
         let nodes = nodes.collect();
         let outcomes = workload.query_kinds.iter().map(|_| Outcome::default()).collect();
@@ -208,7 +208,7 @@
     fn start_query(&mut self, kind: usize) {
         let node = self.rng.random_range(0..self.nodes.len());
         let spec = self.workload.query_kinds[kind].clone();
-        let timing = self.nodes[node].times[kind].send_timing(spec.goal_us, Fanout::Shards);
+        let timing = self.nodes[node].latencies[kind].send_timing(spec.goal_us, Fanout::Shards);
         let fetch_plan = FetchPlan {
             expected_us: timing.expected_us,
             hedge_after_us: timing.hedge_after_us,
@@ -227,7 +227,7 @@
                     GatherPlan::soft_deadline_us(self.now_us, spec.goal_us, round_trip_us, shards)
                 }
             },
-            end_us: self.now_us + spec.timeout_us,
+            deadline_us: self.now_us + spec.timeout_us,
         };
         let budget = &mut self.nodes[node].budget;
         let fetches = (0..shards).map(|shard| {
@@ -258,7 +258,7 @@
             .map(|service| pool.forecast(service, self.now_us, expected_us))
             .collect();
         let selection = select_shards(&forecasts, query.plan.min_parts);
-        selection.skipped.into_iter().for_each(|shard| query.shards[shard].2 = true);
+        selection.excluded.into_iter().for_each(|shard| query.shards[shard].2 = true);
         for shard in selection.reserved {
             pool.reserve_replicas(&services[shard], self.now_us);
         }
@@ -334,7 +334,7 @@
             }
             Some(Fault::Unresponsive) => {
                 let query = &self.queries[send.query];
-                let wait_us = query.plan.end_us.saturating_sub(self.now_us) + 50_000;
+                let wait_us = query.plan.deadline_us.saturating_sub(self.now_us) + 50_000;
                 self.sends[send_index].end = Some((SendOutcome::TimedOut, SendResult::MayHaveRun));
                 return self.schedule(self.now_us + wait_us, Event::ReceiveAnswer(send_index));
             }
@@ -399,7 +399,7 @@
         let node = &mut self.nodes[node];
         node.pool.finish_send(&id, send.send, self.now_us, outcome, send.reported);
         if outcome == SendOutcome::Answered {
-            node.times[kind].record(self.now_us - send.sent_us);
+            node.latencies[kind].record(self.now_us - send.sent_us);
         }
         let query = &mut self.queries[query_index];
         query.shards[shard].0.record_result(result);
--- a/crates/sassafrasproxy-core/tests/snapshot_choice.rs
+++ b/crates/sassafrasproxy-core/tests/snapshot_choice.rs
@@ -11,8 +11,8 @@
     View,
 };
 use sassafrasproxy_wire::{
-    Configuration, GroupHoldings, Hlc, Limits, Outcome, Reason, ServiceSpec, SnapshotHolding,
-    SubOutcome, UpstreamSpec,
+    Configuration, FailureReason, GroupHoldings, Hlc, Outcome, ReplicaLimits, ServiceSpec,
+    SnapshotHolding, SubRequestOutcome, UpstreamSpec,
 };
 
 /// The holdings of one group: snapshots with their layout and servable shards.
@@ -41,7 +41,7 @@
             index: "catalogue".into(),
             failure_domains: names(&["galway-1"]),
             upstreams: vec![upstream],
-            limits: Limits { slots: 2, connections: 25, queue: 64 },
+            limits: ReplicaLimits { slots: 2, connections: 25, queue: 64 },
             deadline_ms: 90,
             kinds: IndexMap::new(),
         };
@@ -129,7 +129,7 @@
     view: &View,
     services: &[&str],
     is_idempotent: bool,
-    mut answer: impl FnMut(&str, u64) -> SubOutcome,
+    mut answer: impl FnMut(&str, u64) -> SubRequestOutcome,
 ) -> QueryEnd {
     let spec = QuerySpec {
         services: names(services),
@@ -164,9 +164,9 @@
 #[test]
 fn restart_on_older_snapshot() {
     let view = view(&[("a", BOTH_SNAPSHOTS_SERVED)]);
-    let not_held = SubOutcome::NotRun { reason: Reason::NotHeld, retry_after_ms: 0 };
+    let not_held = SubRequestOutcome::NotRun { reason: FailureReason::NotHeld, retry_after_ms: 0 };
     let end = run_query(&view, &["a"], true, |shard, snapshot| {
-        if (shard, snapshot) == ("a/s1", 8) { not_held } else { SubOutcome::Answered }
+        if (shard, snapshot) == ("a/s1", 8) { not_held } else { SubRequestOutcome::Answered }
     });
     assert_eq!((end.outcome, end.snapshot), (Outcome::Answered, Some(7)));
     assert_eq!(end.coverage.fraction, 1.0);
@@ -177,9 +177,9 @@
 #[test]
 fn no_alternative_snapshot() {
     let view = view(&[("a", BOTH_SNAPSHOTS_SERVED)]);
-    let not_held = SubOutcome::NotRun { reason: Reason::NotHeld, retry_after_ms: 0 };
+    let not_held = SubRequestOutcome::NotRun { reason: FailureReason::NotHeld, retry_after_ms: 0 };
     let end = run_query(&view, &["a"], true, |shard, _| {
-        if shard == "a/s1" { not_held } else { SubOutcome::Answered }
+        if shard == "a/s1" { not_held } else { SubRequestOutcome::Answered }
     });
     assert_eq!(end.coverage.fraction, 0.5);
     assert_eq!(end.coverage.missing[0].shard.to_string(), "a/s1");
@@ -187,9 +187,9 @@
 
 #[test]
 fn combined_outcomes() {
-    let shed = SubOutcome::NotRun { reason: Reason::Shed, retry_after_ms: 50 };
-    let lost = SubOutcome::Unknown { reason: Reason::ConnectionLost };
-    let answered = SubOutcome::Answered;
+    let shed = SubRequestOutcome::NotRun { reason: FailureReason::Shed, retry_after_ms: 50 };
+    let lost = SubRequestOutcome::Unknown { reason: FailureReason::ConnectionLost };
+    let answered = SubRequestOutcome::Answered;
     let cases = [
         ("all answered", false, [answered, answered], Outcome::Answered),
         ("none ran", false, [shed, shed], Outcome::NotRun),
@@ -228,7 +228,7 @@
         let mut effects = query.step(1, event, &view);
         if let QueryEffect::RequestShard { token, node, is_fallback, .. } = effects[0].clone() {
             assert_eq!((node.as_str(), is_fallback), ("vm-2", true));
-            let outcome = SubOutcome::Answered;
+            let outcome = SubRequestOutcome::Answered;
             effects = query.step(2, QueryEvent::Replied { token, outcome }, &view);
         }
         let Some(QueryEffect::Finish(end)) = effects.last() else { panic!("{effects:?}") };
@@ -250,10 +250,10 @@
     let mut query = Query::new(spec);
     let effects = query.step(0, QueryEvent::Start, &view);
     let QueryEffect::RequestShard { token, .. } = effects[0] else { panic!("{effects:?}") };
-    query.step(1, QueryEvent::Replied { token, outcome: SubOutcome::Answered }, &view);
+    query.step(1, QueryEvent::Replied { token, outcome: SubRequestOutcome::Answered }, &view);
     assert!(query.step(89_999, QueryEvent::Timer, &view).is_empty());
     let effects = query.step(90_000, QueryEvent::Timer, &view);
     let Some(QueryEffect::Finish(end)) = effects.last() else { panic!("{effects:?}") };
     assert_eq!((end.outcome, end.coverage.fraction), (Outcome::Answered, 0.5));
-    assert_eq!(end.coverage.missing[0].reason, Reason::DeadlineExceeded);
+    assert_eq!(end.coverage.missing[0].reason, FailureReason::DeadlineExceeded);
 }
--- a/crates/sassafrasproxy-core/tests/stalled_connections.rs
+++ b/crates/sassafrasproxy-core/tests/stalled_connections.rs
@@ -3,7 +3,7 @@
 mod scheduler_harness;
 
 use sassafrasproxy_core::AttemptResult;
-use sassafrasproxy_wire::SubOutcome;
+use sassafrasproxy_wire::SubRequestOutcome;
 use scheduler_harness::{MS, SchedulerHarness};
 
 // A device between node and upstream has lost the state of every open connection: requests go out,
@@ -22,7 +22,7 @@
     );
     let newest = *harness.open_attempts.keys().last().unwrap();
     harness.end_attempt(newest, AttemptResult::Answered);
-    assert_eq!(harness.replies[&sub_request], SubOutcome::Answered);
+    assert_eq!(harness.replies[&sub_request], SubRequestOutcome::Answered);
 }
 
 // One slow attempt at a replica that answers others is not stalled: retiring the replica's
@@ -78,7 +78,7 @@
     assert_eq!(attempts, 2, "resent within 60 ms");
     let resent = *harness.open_attempts.iter().rfind(|(_, (_, id))| *id == lost).unwrap().0;
     harness.end_attempt(resent, AttemptResult::Answered);
-    assert_eq!(harness.replies.get(&lost), Some(&SubOutcome::Answered));
+    assert_eq!(harness.replies.get(&lost), Some(&SubRequestOutcome::Answered));
     assert!(harness.retired_connections.is_empty(), "the replica's other connections are kept");
 }
 
@@ -93,5 +93,5 @@
     harness.advance(99 * MS);
     assert_eq!(harness.attempts.len(), 1);
     harness.advance(2 * MS);
-    assert!(matches!(harness.replies[&sub_request], SubOutcome::Unknown { .. }));
+    assert!(matches!(harness.replies[&sub_request], SubRequestOutcome::Unknown { .. }));
 }
--- a/crates/sassafrasproxy-gateway/src/control.rs
+++ b/crates/sassafrasproxy-gateway/src/control.rs
@@ -398,7 +398,7 @@
         DiscoveryLogEvent::ConfigurationActivated { version } => {
             log::info!(version, store_revision; "a configuration is in force");
         }
-        DiscoveryLogEvent::OlderConfigurationIgnored { version, in_force } => {
+        DiscoveryLogEvent::OlderConfigurationIgnored { version, active_version: in_force } => {
             log::warn!(
                 version, in_force, store_revision;
                 "ignored a configuration older than the active one"
--- a/crates/sassafrasproxy-gateway/src/gateway.rs
+++ b/crates/sassafrasproxy-gateway/src/gateway.rs
@@ -10,7 +10,7 @@
 use ecow::eco_format;
 use http::Request;
 use hyper::body::Incoming;
-use sassafrasproxy_clock::{Clock, wall_ms};
+use sassafrasproxy_clock::{Clock, unix_time_ms};
 use sassafrasproxy_config::GatewaySettings;
 use sassafrasproxy_wire::{MemberState, MemberUpdate};
 use thiserror::Error;
@@ -183,7 +183,7 @@
             state: MemberState::Alive,
             // The wall time is greater than the incarnation of any earlier run of this node, so
             // members replace what they know of that run.
-            incarnation: wall_ms(),
+            incarnation: unix_time_ms(),
         })
     }
 }
--- a/crates/sassafrasproxy-gateway/src/gather.rs
+++ b/crates/sassafrasproxy-gateway/src/gather.rs
@@ -199,7 +199,7 @@
     for shard in selection.reserved {
         pool.reserve_replicas(&target.services[shard], now_us);
     }
-    selection.skipped
+    selection.excluded
 }
 
 impl<'a> GatherQuery<'a> {
@@ -222,7 +222,7 @@
                 caller_round_trip_us,
                 shards,
             ),
-            end_us: request.answer_deadline_us(route),
+            deadline_us: request.answer_deadline_us(route),
         };
         let mut budget = traffic.retry_budget.borrow_mut();
         let shards = target.services.iter().map(|service| {
@@ -324,7 +324,7 @@
             route: self.route.name.clone(),
             replica: send.replica,
             send_id: send.send_id,
-            deadline_us: self.plan.end_us,
+            deadline_us: self.plan.deadline_us,
             is_fan_out: true,
             is_idempotent: true,
         };
@@ -406,7 +406,7 @@
             relay,
             sends: sends.into_iter().map(|send| (send.shard, send.replica, send.send_id)).collect(),
             top_k: self.top_k,
-            deadline_us: self.plan.end_us,
+            deadline_us: self.plan.deadline_us,
             expected_us: self.fetch_plan.expected_us,
             stall_after_us: self.fetch_plan.hedge_after_us,
         };
@@ -511,7 +511,7 @@
         self.sends.detach();
         self.log_missing_shards();
         let has_run = self.shards.iter().any(|shard| shard.fetch.may_have_run());
-        let refusal = match (has_run, now_us >= self.plan.end_us) {
+        let refusal = match (has_run, now_us >= self.plan.deadline_us) {
             (false, _) => Refusal::NotRun,
             (true, true) => Refusal::TimedOut,
             (true, false) => Refusal::Lost,
--- a/crates/sassafrasproxy-gateway/src/relay_call.rs
+++ b/crates/sassafrasproxy-gateway/src/relay_call.rs
@@ -8,7 +8,7 @@
 use ecow::EcoString;
 use indexmap::IndexMap;
 use sassafrasproxy_core::{SendId, SendOutcome, SendResult};
-use sassafrasproxy_wire::{RelayAsk, RelayEnd, RelayPart, ReplicaEntry};
+use sassafrasproxy_wire::{RelayCall, RelayPart, RelayPartOutcome, ReplicaEntry};
 use tokio::task::{AbortHandle, spawn_local};
 use tokio::time::timeout;
 
@@ -149,15 +149,15 @@
         traffic.relays.record_reply(&spec.relay, traffic.clock.now_us());
         let mut parts = Vec::with_capacity(reply.parts.len());
         for part in reply.parts {
-            let Some(guard) = pending_sends.swap_remove(&part.shard) else { continue };
-            let (outcome, result, stamp) = interpret_relay_end(part.end);
-            guard.finish(outcome, part.reported);
+            let Some(guard) = pending_sends.swap_remove(&part.shard_index) else { continue };
+            let (outcome, result, stamp) = interpret_relay_end(part.outcome);
+            guard.finish(outcome, part.reported_load);
             if result == SendResult::Answered {
                 traffic.record_latency(&spec.route, took_us);
             }
-            parts.push(RelayPartResult { shard: part.shard, result, stamp });
+            parts.push(RelayPartResult { shard: part.shard_index, result, stamp });
         }
-        on_reply(parts, Bytes::from(reply.records));
+        on_reply(parts, Bytes::from(reply.record_batch));
     }
     call.finish();
     Ok(())
@@ -165,26 +165,30 @@
 
 /// Converts the end that a relay reports for a send into the outcome for the replica, the result
 /// for the fetch, and the stamp of the replica if it answered.
-fn interpret_relay_end(end: RelayEnd) -> (SendOutcome, SendResult, Option<EcoString>) {
+fn interpret_relay_end(end: RelayPartOutcome) -> (SendOutcome, SendResult, Option<EcoString>) {
     match end {
-        RelayEnd::Answered { stamp } => (SendOutcome::Answered, SendResult::Answered, Some(stamp)),
-        RelayEnd::Faulty => (SendOutcome::Faulty, SendResult::MayHaveRun, None),
-        RelayEnd::NotRun => (SendOutcome::Refused, SendResult::NotRun, None),
-        RelayEnd::Misdirected => (SendOutcome::Misdirected, SendResult::Unsent, None),
-        RelayEnd::Unsent => (SendOutcome::Unreachable, SendResult::Unsent, None),
-        RelayEnd::Lost => (SendOutcome::Lost, SendResult::MayHaveRun, None),
-        RelayEnd::Silent => (SendOutcome::TimedOut, SendResult::MayHaveRun, None),
+        RelayPartOutcome::Answered { stamp } => {
+            (SendOutcome::Answered, SendResult::Answered, Some(stamp))
+        }
+        RelayPartOutcome::Faulty => (SendOutcome::Faulty, SendResult::MayHaveRun, None),
+        RelayPartOutcome::NotRun => (SendOutcome::Refused, SendResult::NotRun, None),
+        RelayPartOutcome::Misdirected => (SendOutcome::Misdirected, SendResult::Unsent, None),
+        RelayPartOutcome::Unsent => (SendOutcome::Unreachable, SendResult::Unsent, None),
+        RelayPartOutcome::Lost => (SendOutcome::Lost, SendResult::MayHaveRun, None),
+        RelayPartOutcome::TimedOut => (SendOutcome::TimedOut, SendResult::MayHaveRun, None),
     }
 }
 
-fn build_relay_call(spec: &RelayCallSpec, left_us: u64) -> RelayAsk {
+fn build_relay_call(spec: &RelayCallSpec, left_us: u64) -> RelayCall {
     let request = &spec.request;
     let headers = request.headers.iter();
     let headers = headers.map(|(name, value)| (name.as_str().into(), value.as_bytes().to_vec()));
     let parts = spec.sends.iter();
-    let parts =
-        parts.map(|(shard, replica, _)| RelayPart { shard: *shard, replica: replica.id.clone() });
-    RelayAsk {
+    let parts = parts.map(|(shard, replica, _)| RelayPart {
+        shard_index: *shard,
+        replica_id: replica.id.clone(),
+    });
+    RelayCall {
         id: 0,
         attempt_id: request.attempt_id.clone(),
         route: spec.route.clone(),
@@ -192,7 +196,7 @@
         uri: ecow::eco_format!("{}", request.uri),
         headers: headers.collect(),
         body: request.body.to_vec(),
-        left_us,
+        remaining_us: left_us,
         fingerprint: request.fingerprint,
         top_k: spec.top_k,
         parts: parts.collect(),
--- a/crates/sassafrasproxy-gateway/src/relay_pool.rs
+++ b/crates/sassafrasproxy-gateway/src/relay_pool.rs
@@ -13,7 +13,7 @@
 use sassafrasproxy_core::{
     Catalogue, CatalogueReplica, DirectoryNode, PoolSettings, SendId, SendOutcome, UpstreamPool,
 };
-use sassafrasproxy_wire::{MemberState, RelayAsk, RelayReply, RelayRequest, ReplicaEntry};
+use sassafrasproxy_wire::{MemberState, RelayCall, RelayReply, RelayRequest, ReplicaEntry};
 use tokio::net::TcpStream;
 use tokio::sync::mpsc;
 use tokio::task::spawn_local;
@@ -203,7 +203,7 @@
     pub async fn call(
         &self,
         relay: &EcoString,
-        mut ask: RelayAsk,
+        mut ask: RelayCall,
     ) -> eyre::Result<PendingRelayCall> {
         let connection = self.connection(relay).await?;
         let id = self.next_id.get();
@@ -211,7 +211,7 @@
         ask.id = id;
         let (reply_sender, replies) = mpsc::unbounded_channel();
         connection.pending_calls.borrow_mut().insert(id, reply_sender);
-        connection.requests.send(RelayRequest::Ask(ask))?;
+        connection.requests.send(RelayRequest::Call(ask))?;
         Ok(PendingRelayCall { id, connection, replies, is_finished: false })
     }
 
--- a/crates/sassafrasproxy-gateway/src/relay_server.rs
+++ b/crates/sassafrasproxy-gateway/src/relay_server.rs
@@ -9,7 +9,9 @@
 use http::{HeaderMap, HeaderName, HeaderValue, Method, Uri};
 use indexmap::IndexMap;
 use sassafrasproxy_core::{SendId, SendTiming, merge_records};
-use sassafrasproxy_wire::{RelayAsk, RelayEnd, RelayPart, RelayPartEnd, RelayReply, RelayRequest};
+use sassafrasproxy_wire::{
+    RelayCall, RelayPart, RelayPartOutcome, RelayReply, RelayReplyPart, RelayRequest,
+};
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::mpsc;
 use tokio::task::{AbortHandle, spawn_local};
@@ -75,7 +77,7 @@
             frame = frames.next() => {
                 let Some(Ok(frame)) = frame else { return };
                 match postcard::from_bytes(&frame) {
-                    Ok(RelayRequest::Ask(ask)) => {
+                    Ok(RelayRequest::Call(ask)) => {
                         let id = ask.id;
                         let (traffic, reply_sender, finished_sender) =
                             (traffic.clone(), reply_sender.clone(), finished_sender.clone());
@@ -124,16 +126,17 @@
 /// Sends to all replicas of a relay call, and replies as the sends end.
 async fn serve_relay_call(
     traffic: Rc<TrafficState>,
-    ask: RelayAsk,
+    ask: RelayCall,
     replies: mpsc::UnboundedSender<RelayReply>,
 ) {
     let Some(request) = decode_caller_request(&traffic, &ask) else {
-        let all = ask.parts.iter().map(|part| RelayPartEnd {
-            shard: part.shard,
-            end: RelayEnd::Unsent,
-            reported: None,
+        let all = ask.parts.iter().map(|part| RelayReplyPart {
+            shard_index: part.shard_index,
+            outcome: RelayPartOutcome::Unsent,
+            reported_load: None,
         });
-        let _ = replies.send(RelayReply { id: ask.id, parts: all.collect(), records: Vec::new() });
+        let _ =
+            replies.send(RelayReply { id: ask.id, parts: all.collect(), record_batch: Vec::new() });
         return;
     };
     let request = Rc::new(request);
@@ -170,16 +173,16 @@
 /// Returns `None` and reports the part as unsent if this node does not know the replica yet.
 fn start_part_send(
     traffic: &Rc<TrafficState>,
-    ask: &RelayAsk,
+    ask: &RelayCall,
     part: &RelayPart,
     request: &Rc<CallerRequest>,
     timing: Option<SendTiming>,
     results: mpsc::UnboundedSender<(usize, UpstreamResult)>,
 ) -> Option<AbortHandle> {
-    let shard = part.shard;
+    let shard = part.shard_index;
     // The channel is closed if the relay call was cancelled.
     let on_result = move |result| drop(results.send((shard, result)));
-    let entry = traffic.pool.borrow().entry(&part.replica).cloned();
+    let entry = traffic.pool.borrow().entry(&part.replica_id).cloned();
     let Some(replica) = entry else {
         on_result(UpstreamResult::Unsent);
         return None;
@@ -188,7 +191,7 @@
     let now_us = traffic.clock.now_us();
     let send_id = timing.and_then(|timing| {
         let mut pool = traffic.pool.borrow_mut();
-        pool.start_send(&part.replica, now_us, timing.expected_us, timing.hedge_after_us)
+        pool.start_send(&part.replica_id, now_us, timing.expected_us, timing.hedge_after_us)
     });
     let spec = SendSpec {
         request: request.clone(),
@@ -203,7 +206,7 @@
 }
 
 /// Decodes the caller's request from a relay call; `None` if it is not a valid HTTP request.
-fn decode_caller_request(traffic: &TrafficState, ask: &RelayAsk) -> Option<CallerRequest> {
+fn decode_caller_request(traffic: &TrafficState, ask: &RelayCall) -> Option<CallerRequest> {
     let mut headers = HeaderMap::with_capacity(ask.headers.len());
     for (name, value) in &ask.headers {
         let name = HeaderName::from_bytes(name.as_bytes()).ok()?;
@@ -217,14 +220,14 @@
         headers,
         body: Bytes::from(ask.body.clone()),
         arrived_us,
-        deadline_us: arrived_us + ask.left_us,
+        deadline_us: arrived_us + ask.remaining_us,
         elapsed_before_arrival_us: 0,
         fingerprint: ask.fingerprint,
     })
 }
 
 /// Returns one reply for parts that have ended, with the top records of all answered parts.
-fn build_reply(ask: &RelayAsk, results: Vec<(usize, UpstreamResult)>) -> RelayReply {
+fn build_reply(ask: &RelayCall, results: Vec<(usize, UpstreamResult)>) -> RelayReply {
     let mut parts = Vec::with_capacity(results.len());
     let mut bodies: Vec<Bytes> = Vec::with_capacity(results.len());
     for (shard, result) in results {
@@ -233,18 +236,18 @@
             UpstreamResult::Answered(answer) => match answer.head.stamp {
                 Some(stamp) if answer.status.is_success() => {
                     bodies.push(answer.body);
-                    RelayEnd::Answered { stamp }
+                    RelayPartOutcome::Answered { stamp }
                 }
-                _ => RelayEnd::Faulty,
+                _ => RelayPartOutcome::Faulty,
             },
-            UpstreamResult::NotRun => RelayEnd::NotRun,
-            UpstreamResult::Misdirected => RelayEnd::Misdirected,
-            UpstreamResult::Unsent => RelayEnd::Unsent,
-            UpstreamResult::Lost => RelayEnd::Lost,
-            UpstreamResult::TimedOut => RelayEnd::Silent,
+            UpstreamResult::NotRun => RelayPartOutcome::NotRun,
+            UpstreamResult::Misdirected => RelayPartOutcome::Misdirected,
+            UpstreamResult::Unsent => RelayPartOutcome::Unsent,
+            UpstreamResult::Lost => RelayPartOutcome::Lost,
+            UpstreamResult::TimedOut => RelayPartOutcome::TimedOut,
         };
-        parts.push(RelayPartEnd { shard, end, reported });
+        parts.push(RelayReplyPart { shard_index: shard, outcome: end, reported_load: reported });
     }
     let records = merge_records(bodies.iter().map(AsRef::as_ref), ask.top_k);
-    RelayReply { id: ask.id, parts, records }
+    RelayReply { id: ask.id, parts, record_batch: records }
 }
--- a/crates/sassafrasproxy-node/src/callers.rs
+++ b/crates/sassafrasproxy-node/src/caller_connections.rs
@@ -15,45 +15,45 @@
 use tokio::net::{TcpListener, TcpStream};
 
 /// How often a connection that has unread bytes is looked at again.
-const LOOK_AGAIN: Duration = Duration::from_millis(50);
+const HANGUP_POLL_INTERVAL: Duration = Duration::from_millis(50);
 
 /// A second handle of each caller's connection, to look for its end while a request runs.
 ///
 /// Guards against work that goes on for a caller that has hung up: the HTTP server does not end a
 /// handler when its connection is closed, so upstream slots would stay taken until the deadline.
 #[derive(Debug, Clone, Default)]
-pub struct Callers {
-    open: Arc<Mutex<IndexMap<SocketAddr, Arc<TcpStream>>>>,
+pub struct CallerConnections {
+    streams: Arc<Mutex<IndexMap<SocketAddr, Arc<TcpStream>>>>,
 }
 
-impl Callers {
+impl CallerConnections {
     /// Waits until a caller has closed its connection.
-    pub async fn gone(&self, caller: Option<SocketAddr>) {
+    pub async fn wait_until_closed(&self, caller: Option<SocketAddr>) {
         let stream = caller.and_then(|caller| self.lock().get(&caller).cloned());
         let Some(stream) = stream else { return std::future::pending().await };
         loop {
             match stream.peek(&mut [0]).await {
                 Ok(0) | Err(_) => return,
-                Ok(_) => tokio::time::sleep(LOOK_AGAIN).await,
+                Ok(_) => tokio::time::sleep(HANGUP_POLL_INTERVAL).await,
             }
         }
     }
 
     fn lock(&self) -> MutexGuard<'_, IndexMap<SocketAddr, Arc<TcpStream>>> {
-        self.open.lock().unwrap_or_else(PoisonError::into_inner)
+        self.streams.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
 /// Accepts callers' connections and keeps a second handle of each while it is open.
 pub struct CallerAcceptor {
     listener: TcpListener,
-    callers: Callers,
+    connections: CallerConnections,
 }
 
 impl CallerAcceptor {
     /// Accepts on a bound socket that does not block.
-    pub fn new(listener: std::net::TcpListener, callers: Callers) -> io::Result<Self> {
-        Ok(Self { listener: TcpListener::from_std(listener)?, callers })
+    pub fn new(listener: std::net::TcpListener, callers: CallerConnections) -> io::Result<Self> {
+        Ok(Self { listener: TcpListener::from_std(listener)?, connections: callers })
     }
 }
 
@@ -70,9 +70,10 @@
         let local = LocalAddr(stream.local_addr()?.into());
         let stream = stream.into_std()?;
         let second = TcpStream::from_std(stream.try_clone()?)?;
-        self.callers.lock().insert(caller, Arc::new(second));
+        self.connections.lock().insert(caller, Arc::new(second));
         let stream = TcpStream::from_std(stream)?;
-        let stream = CallerStream { stream, caller, callers: self.callers.clone() };
+        let stream =
+            CallerStream { stream, caller_address: caller, connections: self.connections.clone() };
         Ok((stream, local, RemoteAddr(caller.into()), Scheme::HTTP))
     }
 }
@@ -80,13 +81,13 @@
 /// A caller's connection; its second handle goes with it.
 pub struct CallerStream {
     stream: TcpStream,
-    caller: SocketAddr,
-    callers: Callers,
+    caller_address: SocketAddr,
+    connections: CallerConnections,
 }
 
 impl Drop for CallerStream {
     fn drop(&mut self) {
-        self.callers.lock().swap_remove(&self.caller);
+        self.connections.lock().swap_remove(&self.caller_address);
     }
 }
 
--- a/crates/sassafrasproxy-node/src/control.rs
+++ b/crates/sassafrasproxy-node/src/control.rs
@@ -5,11 +5,11 @@
 
 use ecow::EcoString;
 use indexmap::IndexMap;
-use sassafrasproxy_config::{HEAD_KEY, assemble, read_head};
+use sassafrasproxy_config::{HEAD_KEY, assemble_configuration, parse_head};
 use sassafrasproxy_core::{ControlEffect, ControlEvent, ControlPlane, Member};
 use sassafrasproxy_wire::{
-    ConfigurationHead, ConfigurationRequest, Heartbeat, MemberStatus, NodeHoldings,
-    PeerConfiguration, ProbeFor,
+    ConfigurationHead, ConfigurationRequest, Heartbeat, IndirectProbeRequest, MemberStatus,
+    NodeHoldings, PeerConfiguration,
 };
 use tokio::runtime::Handle;
 use tokio::sync::{mpsc, oneshot, watch};
@@ -23,10 +23,10 @@
 const WATCH_WAIT: Duration = Duration::from_secs(20);
 
 /// The pause after a failed call to the store, doubled each time.
-const FIRST_PAUSE: Duration = Duration::from_millis(200);
+const MIN_BACKOFF: Duration = Duration::from_millis(200);
 
 /// The longest pause after a failed call to the store.
-const LONGEST_PAUSE: Duration = Duration::from_secs(5);
+const MAX_BACKOFF: Duration = Duration::from_secs(5);
 
 /// What the control thread takes in.
 #[derive(Debug)]
@@ -34,15 +34,18 @@
     /// An event for the reducer.
     Event(ControlEvent),
     /// A peer's probe, to be answered with a heartbeat.
-    Answer { heartbeat: Heartbeat, reply: oneshot::Sender<Heartbeat> },
+    ProbeReceived { heartbeat: Heartbeat, reply: oneshot::Sender<Heartbeat> },
     /// A configuration was read, from the store or a peer.
-    Read { head: ConfigurationHead, chunks: IndexMap<EcoString, EcoString> },
+    ConfigurationFetched { head: ConfigurationHead, chunks: IndexMap<EcoString, EcoString> },
     /// A peer asks for the configuration.
-    Configuration { request: ConfigurationRequest, reply: oneshot::Sender<PeerConfiguration> },
+    ConfigurationRequested {
+        request: ConfigurationRequest,
+        reply: oneshot::Sender<PeerConfiguration>,
+    },
     /// A peer asks for this node's holdings.
-    OwnHoldings { reply: oneshot::Sender<NodeHoldings> },
+    HoldingsRequested { reply: oneshot::Sender<NodeHoldings> },
     /// The node's status is asked for.
-    Status { reply: oneshot::Sender<ControlStatus> },
+    StatusRequested { reply: oneshot::Sender<ControlStatus> },
     /// The node ends.
     Stop,
 }
@@ -58,12 +61,12 @@
 
 /// The control thread's state.
 pub struct ControlThread {
-    control: ControlPlane,
+    control_plane: ControlPlane,
     shared: Arc<Shared>,
     platform: PlatformClient,
     /// Where I/O runs, apart from this thread.
-    traffic: Handle,
-    watch: watch::Sender<bool>,
+    io_runtime: Handle,
+    watch_enabled: watch::Sender<bool>,
     head: Option<ConfigurationHead>,
     /// The texts of the chunks that the head names.
     chunks: IndexMap<EcoString, EcoString>,
@@ -80,8 +83,15 @@
         let traffic = Handle::current();
         let (watch, watching) = watch::channel(false);
         traffic.spawn(watch_store(shared.clone(), platform.clone(), watching));
-        let thread =
-            Self { control, shared, platform, traffic, watch, head: None, chunks: IndexMap::new() };
+        let thread = Self {
+            control_plane: control,
+            shared,
+            platform,
+            io_runtime: traffic,
+            watch_enabled: watch,
+            head: None,
+            chunks: IndexMap::new(),
+        };
         let runtime = tokio::runtime::Builder::new_current_thread().enable_time().build()?;
         std::thread::Builder::new()
             .name("control".into())
@@ -97,36 +107,38 @@
             tokio::select! {
                 input = inputs.recv() => match input {
                     None | Some(ControlInput::Stop) => return,
-                    Some(input) => self.take(input),
+                    Some(input) => self.handle_input(input),
                 },
                 _ = tick.tick() => self.step(ControlEvent::Tick),
             }
         }
     }
 
-    fn take(&mut self, input: ControlInput) {
+    fn handle_input(&mut self, input: ControlInput) {
         match input {
             ControlInput::Event(event) => {
                 if let ControlEvent::HeartbeatReceived(heartbeat) = &event {
-                    self.shared.events.hear(heartbeat.hlc);
+                    self.shared.events.merge_hlc(heartbeat.hlc);
                 }
                 self.step(event);
             }
-            ControlInput::Answer { heartbeat, reply } => {
-                self.shared.events.hear(heartbeat.hlc);
-                let stamp = self.shared.events.stamp();
-                let answer = self.control.heartbeat(stamp, Some(&heartbeat));
+            ControlInput::ProbeReceived { heartbeat, reply } => {
+                self.shared.events.merge_hlc(heartbeat.hlc);
+                let stamp = self.shared.events.next_hlc();
+                let answer = self.control_plane.heartbeat(stamp, Some(&heartbeat));
                 let _ = reply.send(answer);
                 self.step(ControlEvent::HeartbeatReceived(heartbeat));
             }
-            ControlInput::Read { head, chunks } => self.take_configuration(head, chunks),
-            ControlInput::Configuration { request, reply } => {
+            ControlInput::ConfigurationFetched { head, chunks } => {
+                self.apply_configuration(head, chunks);
+            }
+            ControlInput::ConfigurationRequested { request, reply } => {
                 let _ = reply.send(self.peer_configuration(&request));
             }
-            ControlInput::OwnHoldings { reply } => {
-                let _ = reply.send(self.control.local_holdings());
+            ControlInput::HoldingsRequested { reply } => {
+                let _ = reply.send(self.control_plane.local_holdings());
             }
-            ControlInput::Status { reply } => {
+            ControlInput::StatusRequested { reply } => {
                 let _ = reply.send(self.status());
             }
             ControlInput::Stop => {}
@@ -134,23 +146,23 @@
     }
 
     /// Puts a configuration together and gives it to the reducer, or the reason against it.
-    fn take_configuration(
+    fn apply_configuration(
         &mut self,
         head: ConfigurationHead,
         chunks: IndexMap<EcoString, EcoString>,
     ) {
-        if head.revision <= self.control.revision() {
+        if head.revision <= self.control_plane.revision() {
             return;
         }
         let known = std::mem::take(&mut self.chunks);
         self.chunks = known.into_iter().chain(chunks).collect();
-        match assemble(&head, &self.chunks) {
+        match assemble_configuration(&head, &self.chunks) {
             Ok(configuration) => {
                 self.chunks.retain(|name, _| head.chunks.contains(name));
                 self.head = Some(head);
                 self.step(ControlEvent::ConfigurationReceived(configuration));
             }
-            Err(error) if error.is_final() => {
+            Err(error) if error.is_permanent() => {
                 let (revision, detail) = (head.revision, ecow::eco_format!("{error}"));
                 log::error!("{detail}");
                 self.step(ControlEvent::ConfigurationRejected { revision, detail });
@@ -169,112 +181,117 @@
     fn status(&self) -> ControlStatus {
         let me = &self.shared.settings.name;
         let revision_of = |member: &Member| match member.node == *me {
-            true => self.control.revision(),
+            true => self.control_plane.revision(),
             false => member.revision,
         };
-        let members = self.control.members().present().map(|member| MemberStatus {
+        let members = self.control_plane.members().present().map(|member| MemberStatus {
             node: member.node.clone(),
             address: member.address.clone(),
             failure_domain: member.failure_domain.clone(),
             state: ecow::eco_format!("{:?}", member.state).to_lowercase(),
             revision: revision_of(member),
         });
-        let rejected = self.control.rejected_revision().map(|(_, detail)| detail.clone());
+        let rejected = self.control_plane.rejected_revision().map(|(_, detail)| detail.clone());
         ControlStatus { members: members.collect(), rejected_revision: rejected }
     }
 
     fn step(&mut self, event: ControlEvent) {
-        let effects = self.control.step(self.shared.clock.now_us(), event);
+        let effects = self.control_plane.step(self.shared.clock.now_us(), event);
         let is_changed = effects.contains(&ControlEffect::PublishView);
         if is_changed {
-            let view = Arc::new(self.control.view());
+            let view = Arc::new(self.control_plane.view());
             self.shared.view.store(view.clone());
-            let _guard = self.traffic.enter();
-            self.shared.lanes.apply(&self.shared, &view);
+            let _guard = self.io_runtime.enter();
+            self.shared.schedulers.apply_view(&self.shared, &view);
         }
         for effect in effects {
-            self.carry_out(effect);
+            self.perform_effect(effect);
         }
     }
 
-    fn carry_out(&mut self, effect: ControlEffect) {
+    fn perform_effect(&mut self, effect: ControlEffect) {
         match effect {
             ControlEffect::Probe { peer_address } => self.probe(peer_address),
             ControlEffect::ProbeIndirectly { via_peer_addresses: vias, peer_address } => {
-                self.probe_via(vias, peer_address);
+                self.probe_indirectly(vias, peer_address);
             }
             ControlEffect::PullConfiguration { peer_address } => {
                 self.pull_configuration(peer_address);
             }
-            ControlEffect::PullHoldings { peer_address } => self.spawn(async move |shared| {
-                if let Ok(holdings) = shared.peers.holdings(&peer_address).await {
-                    shared.tell(ControlEvent::HoldingsReceived(holdings));
+            ControlEffect::PullHoldings { peer_address } => self.spawn_io(async move |shared| {
+                if let Ok(holdings) = shared.peer_client.fetch_holdings(&peer_address).await {
+                    shared.send_control_event(ControlEvent::HoldingsReceived(holdings));
                 }
             }),
             ControlEffect::PushHoldings { peer_addresses, holdings } => {
                 self.push_holdings(peer_addresses, holdings);
             }
             ControlEffect::WatchStore { is_on } => {
-                self.watch.send_replace(is_on);
+                self.watch_enabled.send_replace(is_on);
             }
             ControlEffect::ReadStore => {
                 let (platform, have) = (self.platform.clone(), self.chunks.clone());
-                self.spawn(async move |shared| {
+                self.spawn_io(async move |shared| {
                     if let Ok(Some((head, chunks))) = read_configuration(&platform, &have).await {
-                        let _ = shared.control.send(ControlInput::Read { head, chunks });
+                        let _ = shared
+                            .control_sender
+                            .send(ControlInput::ConfigurationFetched { head, chunks });
                     }
                 });
             }
             ControlEffect::ReadVmList => {
                 let platform = self.platform.clone();
-                self.spawn(async move |shared| {
-                    if let Ok(vms) = platform.vms().await {
-                        shared.tell(ControlEvent::VmListReceived(vms));
+                self.spawn_io(async move |shared| {
+                    if let Ok(vms) = platform.list_vms().await {
+                        shared.send_control_event(ControlEvent::VmListReceived(vms));
                     }
                 });
             }
             ControlEffect::PublishView => {}
-            ControlEffect::RecordEvent(kind) => self.shared.events.note(None, kind),
+            ControlEffect::RecordEvent(kind) => self.shared.events.record(None, kind),
         }
     }
 
     /// Sends a heartbeat and reports what came of it.
     fn probe(&mut self, peer_address: EcoString) {
-        let heartbeat = self.control.heartbeat(self.shared.events.stamp(), None);
-        self.spawn(async move |shared| {
+        let heartbeat = self.control_plane.heartbeat(self.shared.events.next_hlc(), None);
+        self.spawn_io(async move |shared| {
             let sent_us = shared.clock.now_us();
-            let event = match shared.peers.probe(&peer_address, &heartbeat).await {
+            let event = match shared.peer_client.probe(&peer_address, &heartbeat).await {
                 Ok(answer) => ControlEvent::HeartbeatReceived(answer),
                 Err(_) => ControlEvent::ProbeFailed { peer_address, sent_us, is_indirect: false },
             };
-            shared.tell(event);
+            shared.send_control_event(event);
         });
     }
 
     /// Asks members to probe another; one answer to any of them is enough.
-    fn probe_via(&mut self, vias: Vec<EcoString>, peer_address: EcoString) {
-        let heartbeat = self.control.heartbeat(self.shared.events.stamp(), None);
-        let request = ProbeFor { peer_address: peer_address.clone(), heartbeat };
-        self.spawn(async move |shared| {
+    fn probe_indirectly(&mut self, vias: Vec<EcoString>, peer_address: EcoString) {
+        let heartbeat = self.control_plane.heartbeat(self.shared.events.next_hlc(), None);
+        let request = IndirectProbeRequest { peer_address: peer_address.clone(), heartbeat };
+        self.spawn_io(async move |shared| {
             let sent_us = shared.clock.now_us();
-            let asks = vias.iter().map(|via| shared.peers.probe_for(via, &request));
+            let asks = vias.iter().map(|via| shared.peer_client.probe_for(via, &request));
             let answers = futures_util::future::join_all(asks).await;
             let event = match answers.into_iter().flatten().flatten().next() {
                 Some(answer) => ControlEvent::HeartbeatReceived(answer),
                 None => ControlEvent::ProbeFailed { peer_address, sent_us, is_indirect: true },
             };
-            shared.tell(event);
+            shared.send_control_event(event);
         });
     }
 
     fn pull_configuration(&self, peer_address: EcoString) {
         let request = ConfigurationRequest { have: self.chunks.keys().cloned().collect() };
-        self.spawn(async move |shared| {
-            let Ok(answer) = shared.peers.configuration(&peer_address, &request).await else {
+        self.spawn_io(async move |shared| {
+            let Ok(answer) = shared.peer_client.fetch_configuration(&peer_address, &request).await
+            else {
                 return;
             };
             if let Some(head) = answer.head {
-                let _ = shared.control.send(ControlInput::Read { head, chunks: answer.chunks });
+                let _ = shared
+                    .control_sender
+                    .send(ControlInput::ConfigurationFetched { head, chunks: answer.chunks });
             }
         });
     }
@@ -283,19 +300,19 @@
         let holdings = Arc::new(holdings);
         for peer_address in peer_addresses {
             let holdings = holdings.clone();
-            self.spawn(async move |shared| {
+            self.spawn_io(async move |shared| {
                 // A lost push is made good by the pull that the next heartbeat causes.
-                let _ = shared.peers.push_holdings(&peer_address, &holdings).await;
+                let _ = shared.peer_client.push_holdings(&peer_address, &holdings).await;
             });
         }
     }
 
     /// Runs I/O among the traffic.
-    fn spawn<F>(&self, io: impl FnOnce(Arc<Shared>) -> F)
+    fn spawn_io<F>(&self, io: impl FnOnce(Arc<Shared>) -> F)
     where
         F: Future<Output = ()> + Send + 'static,
     {
-        self.traffic.spawn(io(self.shared.clone()));
+        self.io_runtime.spawn(io(self.shared.clone()));
     }
 }
 
@@ -306,7 +323,7 @@
     mut watching: watch::Receiver<bool>,
 ) {
     let mut after = 0;
-    let mut pause = FIRST_PAUSE;
+    let mut pause = MIN_BACKOFF;
     let mut have = IndexMap::new();
     loop {
         if watching.wait_for(|is_on| *is_on).await.is_err() {
@@ -315,12 +332,12 @@
         match watch_once(&shared, &platform, after, &mut have).await {
             Some(revision) => {
                 after = revision;
-                pause = FIRST_PAUSE;
+                pause = MIN_BACKOFF;
             }
             None => {
                 let jitter = rand::random_range(0.5..1.0);
                 tokio::time::sleep(pause.mul_f64(jitter)).await;
-                pause = (pause * 2).min(LONGEST_PAUSE);
+                pause = (pause * 2).min(MAX_BACKOFF);
             }
         }
     }
@@ -339,12 +356,12 @@
     let changes = platform.watch(HEAD_KEY, after, WATCH_WAIT).await.ok()?;
     let head = changes.changes.iter().rev().find_map(|change| change.value.as_ref());
     let Some(head) = head else { return Some(changes.revision) };
-    if let Err(error) = read_head(head) {
+    if let Err(error) = parse_head(head) {
         log::error!("{error}");
         return Some(changes.revision);
     }
     let (head, chunks) = read_configuration(platform, have).await.ok()??;
     have.clone_from(&chunks);
-    let _ = shared.control.send(ControlInput::Read { head, chunks });
+    let _ = shared.control_sender.send(ControlInput::ConfigurationFetched { head, chunks });
     Some(changes.revision)
 }
--- a/crates/sassafrasproxy-node/src/events.rs
+++ b/crates/sassafrasproxy-node/src/events.rs
@@ -5,11 +5,11 @@
 
 use ecow::EcoString;
 use log::{debug, info};
-use sassafrasproxy_clock::wall_ms;
-use sassafrasproxy_wire::{Event, EventKind, Hlc};
+use sassafrasproxy_clock::unix_time_ms;
+use sassafrasproxy_wire::{Hlc, TimelineEvent, TimelineEventKind};
 
 /// How many events a node keeps; VMs have no disks, and older ones are in the logs.
-const CAPACITY: usize = 8_192;
+const MAX_EVENTS: usize = 8_192;
 
 /// The log target of time line events, whose messages are JSON already.
 pub const TIMELINE_TARGET: &str = "timeline";
@@ -19,14 +19,14 @@
 pub struct EventLog {
     node: EcoString,
     failure_domain: EcoString,
-    state: Mutex<State>,
+    state: Mutex<EventLogState>,
 }
 
 #[derive(Debug, Default)]
-struct State {
+struct EventLogState {
     hlc: Hlc,
     sequence: u64,
-    events: VecDeque<Event>,
+    events: VecDeque<TimelineEvent>,
 }
 
 impl EventLog {
@@ -36,12 +36,12 @@
     }
 
     /// Adds an event, and logs it.
-    pub fn note(&self, request_id: Option<EcoString>, kind: EventKind) {
+    pub fn record(&self, request_id: Option<EcoString>, kind: TimelineEventKind) {
         let is_per_query = request_id.is_some();
         let mut state = self.lock();
-        state.hlc = state.hlc.tick(wall_ms());
+        state.hlc = state.hlc.tick(unix_time_ms());
         state.sequence += 1;
-        let event = Event {
+        let event = TimelineEvent {
             hlc: state.hlc,
             sequence: state.sequence,
             node: self.node.clone(),
@@ -49,7 +49,7 @@
             request_id,
             kind,
         };
-        if state.events.len() >= CAPACITY {
+        if state.events.len() >= MAX_EVENTS {
             state.events.pop_front();
         }
         state.events.push_back(event.clone());
@@ -63,24 +63,24 @@
     }
 
     /// A new stamp of the hybrid logical clock.
-    pub fn stamp(&self) -> Hlc {
+    pub fn next_hlc(&self) -> Hlc {
         let mut state = self.lock();
-        state.hlc = state.hlc.tick(wall_ms());
+        state.hlc = state.hlc.tick(unix_time_ms());
         state.hlc
     }
 
     /// Moves the hybrid logical clock past a stamp heard from a peer.
-    pub fn hear(&self, heard: Hlc) {
+    pub fn merge_hlc(&self, heard: Hlc) {
         let mut state = self.lock();
-        state.hlc = state.hlc.merge(heard, wall_ms());
+        state.hlc = state.hlc.merge(heard, unix_time_ms());
     }
 
     /// The events with a sequence number above `after`, oldest first.
-    pub fn after(&self, after: u64) -> Vec<Event> {
+    pub fn events_after(&self, after: u64) -> Vec<TimelineEvent> {
         self.lock().events.iter().filter(|event| event.sequence > after).cloned().collect()
     }
 
-    fn lock(&self) -> MutexGuard<'_, State> {
+    fn lock(&self) -> MutexGuard<'_, EventLogState> {
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
--- a/crates/sassafrasproxy-node/src/http.rs
+++ b/crates/sassafrasproxy-node/src/http.rs
@@ -10,18 +10,20 @@
 use rand::seq::SliceRandom;
 use sassafrasproxy_core::{QuerySpec, US_PER_MS, View};
 use sassafrasproxy_wire::{
-    AddressList, DEADLINE_HEADER, EntryAddress, Event, HomeStatus, MAX_REQUEST_ID_BYTES,
-    MemberState, NodeStatus, Outcome, QueryRequest, REQUEST_ID_HEADER, Reason, Refusal,
-    ServiceSpec,
+    AddressList, DEADLINE_HEADER, FailureReason, GroupStatus, IngressAddress, MAX_REQUEST_ID_BYTES,
+    MemberState, NodeStatus, Outcome, QueryRequest, REQUEST_ID_HEADER, Refusal, ServiceSpec,
+    TimelineEvent,
 };
 use serde::Deserialize;
 use tokio::sync::oneshot;
 
-use crate::answers::{answer_text, answered, refusal, refuse, respond};
-use crate::callers::Callers;
+use crate::caller_connections::CallerConnections;
 use crate::control::ControlInput;
-use crate::once::{self, OnceResult};
+use crate::non_idempotent::{self, NonIdempotentResult};
 use crate::query::{self, QueryJob, QueryResult};
+use crate::responses::{
+    answer_json, answer_response, not_run_refusal, query_response, refusal_response,
+};
 use crate::shared::Shared;
 
 /// The largest body of a query in bytes.
@@ -31,43 +33,47 @@
 const MAX_DEADLINE_MS: u64 = 60_000;
 
 /// The least time kept back to put the answer together and send it, in microseconds.
-const LEAST_MARGIN_US: u64 = 3_000;
+const MIN_ANSWER_RESERVE_US: u64 = 3_000;
 
 /// The part of a deadline that is kept back: one part in this many.
-const MARGIN_PART: u64 = 20;
+const ANSWER_RESERVE_DIVISOR: u64 = 20;
 
 /// The most addresses that a caller is told.
 const MAX_ADDRESSES: usize = 16;
 
 /// The state of the HTTP interface.
-pub struct Http {
+pub struct HttpState {
     shared: Arc<Shared>,
-    callers: Callers,
+    caller_connections: CallerConnections,
     /// Ids of the requests that run now.
-    running: Mutex<IndexSet<EcoString>>,
+    active_request_ids: Mutex<IndexSet<EcoString>>,
 }
 
 /// All routes.
-pub fn routes(shared: Arc<Shared>, callers: Callers) -> impl IntoEndpoint {
-    let http = Arc::new(Http { shared, callers, running: Mutex::default() });
+pub fn routes(shared: Arc<Shared>, callers: CallerConnections) -> impl IntoEndpoint {
+    let http = Arc::new(HttpState {
+        shared,
+        caller_connections: callers,
+        active_request_ids: Mutex::default(),
+    });
     Route::new()
         .at("/v1/query", post(run_query))
         .at("/v1/addresses", get(addresses))
         .at("/v1/status", get(node_status))
-        .at("/v1/timeline", get(events))
+        .at("/v1/timeline", get(timeline))
         .at("/healthz", get(healthz))
         .at("/readyz", get(readyz))
         .data(http)
 }
 
 /// A request that was checked.
-struct Checked {
+struct ValidatedQuery {
     job: QueryJob,
     index: EcoString,
 }
 
 #[handler]
-async fn run_query(http: Data<&Arc<Http>>, request: &Request, body: Body) -> Response {
+async fn run_query(http: Data<&Arc<HttpState>>, request: &Request, body: Body) -> Response {
     let request_id = match request.header(REQUEST_ID_HEADER) {
         Some(id) => EcoString::from(id),
         None => eco_format!("{:032x}", rand::random::<u128>()),
@@ -76,86 +82,96 @@
     let deadline = request.header(DEADLINE_HEADER);
     let text = body.into_bytes_limit(MAX_BODY_BYTES).await;
     let checked = match text {
-        Ok(text) => http.check(request_id.clone(), has_id, deadline, &text),
+        Ok(text) => http.validate(request_id.clone(), has_id, deadline, &text),
         Err(poem::error::ReadBodyError::PayloadTooLarge) => {
             let detail = eco_format!("send at most {MAX_BODY_BYTES} bytes");
-            Err(refusal(request_id, Reason::BodyTooLarge, detail))
+            Err(not_run_refusal(request_id, FailureReason::BodyTooLarge, detail))
+        }
+        Err(error) => {
+            Err(not_run_refusal(request_id, FailureReason::BadRequest, eco_format!("{error}")))
         }
-        Err(error) => Err(refusal(request_id, Reason::BadRequest, eco_format!("{error}"))),
     };
     let checked = match checked {
         Ok(checked) => checked,
-        Err(refusal) => return refuse(&refusal),
+        Err(refusal) => return refusal_response(&refusal),
     };
     if !checked.job.spec.is_idempotent {
-        return run_once(&http, checked).await;
+        return run_non_idempotent(&http, checked).await;
     }
-    let Some(_running) = RunningId::enter(&http, &checked.job.request_id) else {
+    let Some(_running) = ActiveRequestGuard::try_insert(&http, &checked.job.request_id) else {
         let detail = "a request with this id is running; use an id for one request only".into();
-        let refusal = refusal(checked.job.request_id, Reason::DuplicateRequestId, detail);
-        return refuse(&refusal);
+        let refusal =
+            not_run_refusal(checked.job.request_id, FailureReason::DuplicateRequestId, detail);
+        return refusal_response(&refusal);
     };
     let caller = request.remote_addr().as_socket_addr().copied();
     let result = tokio::select! {
         result = query::run(&http.shared, &checked.job) => result,
-        () = http.callers.gone(caller) => {
+        () = http.caller_connections.wait_until_closed(caller) => {
             let detail = "the caller closed its connection".into();
-            return refuse(&refusal(checked.job.request_id, Reason::CallerGone, detail));
+            return refusal_response(&not_run_refusal(checked.job.request_id, FailureReason::CallerGone, detail));
         }
     };
-    respond(checked.job.request_id, &checked.index, result)
+    query_response(checked.job.request_id, &checked.index, result)
 }
 
 /// Runs a request that may run once only; it goes on to its end when its caller goes away.
-async fn run_once(http: &Http, checked: Checked) -> Response {
+async fn run_non_idempotent(http: &HttpState, checked: ValidatedQuery) -> Response {
     let shared = http.shared.clone();
-    let Checked { job, index } = checked;
+    let ValidatedQuery { job, index } = checked;
     let request_id = job.request_id.clone();
     let run = tokio::spawn(async move {
-        let to_text = |result: &QueryResult| answer_text(&job.request_id, &index, result);
-        let result = once::run(&shared, &job, to_text).await;
+        let to_text = |result: &QueryResult| answer_json(&job.request_id, &index, result);
+        let result = non_idempotent::run(&shared, &job, to_text).await;
         (result, index)
     });
     let result = run.await;
     let refuse_as = |outcome, reason, detail: &str| {
-        let refusal = refusal(request_id.clone(), reason, detail.into());
-        refuse(&Refusal { outcome, ..refusal })
+        let refusal = not_run_refusal(request_id.clone(), reason, detail.into());
+        refusal_response(&Refusal { outcome, ..refusal })
     };
     match result {
-        Ok((OnceResult::Ran(result), index)) => respond(request_id, &index, result),
-        Ok((OnceResult::AnsweredBefore(text), _)) => answered(&text),
-        Ok((OnceResult::UsedBefore, _)) => {
+        Ok((NonIdempotentResult::Finished(result), index)) => {
+            query_response(request_id, &index, result)
+        }
+        Ok((NonIdempotentResult::AlreadyAnswered(text), _)) => answer_response(&text),
+        Ok((NonIdempotentResult::KeyUsed, _)) => {
             let detail = "this key was used before and its outcome is not known yet, or for good";
-            refuse_as(Outcome::Unknown, Reason::KeyUsed, detail)
+            refuse_as(Outcome::Unknown, FailureReason::KeyUsed, detail)
         }
-        Ok((OnceResult::KeyReused, _)) => {
+        Ok((NonIdempotentResult::KeyReused, _)) => {
             let detail = "this key was used for another request; use a key for one request only";
-            refuse_as(Outcome::NotRun, Reason::KeyReused, detail)
+            refuse_as(Outcome::NotRun, FailureReason::KeyReused, detail)
         }
-        Ok((OnceResult::Unclaimed, _)) => {
+        Ok((NonIdempotentResult::ClaimUnavailable, _)) => {
             let detail = "the request could not be claimed in time, so it was not run";
-            refuse_as(Outcome::NotRun, Reason::ClaimUnavailable, detail)
+            refuse_as(Outcome::NotRun, FailureReason::ClaimUnavailable, detail)
+        }
+        Err(_) => {
+            refuse_as(Outcome::Unknown, FailureReason::KeyUsed, "the request ended unexpectedly")
         }
-        Err(_) => refuse_as(Outcome::Unknown, Reason::KeyUsed, "the request ended unexpectedly"),
     }
 }
 
 #[handler]
-fn addresses(http: Data<&Arc<Http>>, Query(params): Query<AddressParams>) -> Json<AddressList> {
+fn addresses(
+    http: Data<&Arc<HttpState>>,
+    Query(params): Query<AddressParams>,
+) -> Json<AddressList> {
     let view = http.shared.view.load();
     Json(AddressList {
-        addresses: entry_addresses(&view, params.failure_domain.as_ref()),
+        addresses: ingress_addresses(&view, params.failure_domain.as_ref()),
         keep_ms: http.shared.settings.address_keep_ms,
     })
 }
 
 #[handler]
-async fn node_status(http: Data<&Arc<Http>>) -> Json<NodeStatus> {
+async fn node_status(http: Data<&Arc<HttpState>>) -> Json<NodeStatus> {
     let (reply, answer) = oneshot::channel();
-    let _ = http.shared.control.send(ControlInput::Status { reply });
+    let _ = http.shared.control_sender.send(ControlInput::StatusRequested { reply });
     let control = answer.await.ok();
     let view = http.shared.view.load_full();
-    let homes = view.groups.groups().map(|group| HomeStatus {
+    let homes = view.groups.groups().map(|group| GroupStatus {
         group: group.name.clone(),
         home: view.home(&group.name).cloned(),
         snapshots: view
@@ -173,13 +189,16 @@
         domains_out: view.configuration.domains_out.iter().cloned().collect(),
         members: control.map(|control| control.members).unwrap_or_default(),
         homes: homes.collect(),
-        replicas: http.shared.lanes.status().await,
+        replicas: http.shared.schedulers.replica_statuses().await,
     })
 }
 
 #[handler]
-fn events(http: Data<&Arc<Http>>, Query(params): Query<TimelineParams>) -> Json<Vec<Event>> {
-    Json(http.shared.events.after(params.after))
+fn timeline(
+    http: Data<&Arc<HttpState>>,
+    Query(params): Query<TimelineParams>,
+) -> Json<Vec<TimelineEvent>> {
+    Json(http.shared.events.events_after(params.after))
 }
 
 #[handler]
@@ -188,7 +207,7 @@
 }
 
 #[handler]
-fn readyz(http: Data<&Arc<Http>>) -> (StatusCode, &'static str) {
+fn readyz(http: Data<&Arc<HttpState>>) -> (StatusCode, &'static str) {
     let view = http.shared.view.load();
     if view.leaving {
         return (StatusCode::SERVICE_UNAVAILABLE, "shutting down");
@@ -212,35 +231,36 @@
     after: u64,
 }
 
-impl Http {
+impl HttpState {
     /// Checks a request against the configuration.
-    fn check(
+    fn validate(
         &self,
         request_id: EcoString,
         has_id: bool,
         deadline: Option<&str>,
         text: &[u8],
-    ) -> Result<Checked, Refusal> {
-        let refuse = |reason, detail: EcoString| Err(refusal(request_id.clone(), reason, detail));
+    ) -> Result<ValidatedQuery, Refusal> {
+        let refuse =
+            |reason, detail: EcoString| Err(not_run_refusal(request_id.clone(), reason, detail));
         if request_id.is_empty() || request_id.len() > MAX_REQUEST_ID_BYTES {
             let detail = eco_format!("use a request id of 1 to {MAX_REQUEST_ID_BYTES} bytes");
-            return refuse(Reason::BadRequest, detail);
+            return refuse(FailureReason::BadRequest, detail);
         }
         let query: QueryRequest = match serde_json::from_slice(text) {
             Ok(query) => query,
-            Err(error) => return refuse(Reason::BadRequest, eco_format!("{error}")),
+            Err(error) => return refuse(FailureReason::BadRequest, eco_format!("{error}")),
         };
         let view = self.shared.view.load();
         if view.configuration.revision == 0 {
             let detail = "no configuration is in force yet; come back".into();
-            return refuse(Reason::NoConfiguration, detail);
+            return refuse(FailureReason::NoConfiguration, detail);
         }
         let services = match find_services(&view, &query) {
             Ok(services) => services,
             Err((reason, detail)) => return refuse(reason, detail),
         };
         let Some(index) = services.first().map(|service| service.index.clone()) else {
-            return refuse(Reason::BadRequest, "name at least one service".into());
+            return refuse(FailureReason::BadRequest, "name at least one service".into());
         };
         let is_idempotent = services
             .iter()
@@ -249,7 +269,7 @@
         if !is_idempotent && !has_id {
             let detail =
                 eco_format!("`{}` is not idempotent: send {REQUEST_ID_HEADER}", query.kind);
-            return refuse(Reason::MissingRequestId, detail);
+            return refuse(FailureReason::MissingRequestId, detail);
         }
         let longest_ms = services.iter().map(|service| service.deadline_ms).max().unwrap_or(0);
         let deadline_ms = match deadline.map(str::parse::<u64>) {
@@ -257,14 +277,15 @@
             Some(Ok(deadline_ms)) if (1..=MAX_DEADLINE_MS).contains(&deadline_ms) => deadline_ms,
             Some(_) => {
                 let detail = eco_format!("{DEADLINE_HEADER} takes 1 to {MAX_DEADLINE_MS}");
-                return refuse(Reason::BadRequest, detail);
+                return refuse(FailureReason::BadRequest, detail);
             }
         };
         if !(0.0..=1.0).contains(&query.min_coverage) {
-            return refuse(Reason::BadRequest, "min_coverage takes 0 to 1".into());
+            return refuse(FailureReason::BadRequest, "min_coverage takes 0 to 1".into());
         }
         let deadline_us = deadline_ms * US_PER_MS;
-        let margin_us = LEAST_MARGIN_US.max(deadline_us / MARGIN_PART).min(deadline_us / 2);
+        let margin_us =
+            MIN_ANSWER_RESERVE_US.max(deadline_us / ANSWER_RESERVE_DIVISOR).min(deadline_us / 2);
         let spec = QuerySpec {
             services: services.iter().map(|service| service.service.clone()).collect(),
             is_idempotent,
@@ -272,7 +293,7 @@
             soft_deadline_us: self.shared.clock.now_us() + deadline_us - margin_us,
         };
         let job = QueryJob { request_id, kind: query.kind, body: query.body, spec };
-        Ok(Checked { job, index })
+        Ok(ValidatedQuery { job, index })
     }
 }
 
@@ -280,21 +301,21 @@
 fn find_services<'a>(
     view: &'a View,
     query: &QueryRequest,
-) -> Result<Vec<&'a ServiceSpec>, (Reason, EcoString)> {
+) -> Result<Vec<&'a ServiceSpec>, (FailureReason, EcoString)> {
     let mut services: Vec<&ServiceSpec> = Vec::new();
     let mut seen = IndexSet::new();
     for name in query.services.iter().filter(|name| seen.insert(*name)) {
         let Some(service) = view.configuration.services.get(name) else {
             let detail = eco_format!("service `{name}` is not configured");
-            return Err((Reason::UnknownService, detail));
+            return Err((FailureReason::UnknownService, detail));
         };
         if !service.kinds.contains_key(&query.kind) {
             let detail = eco_format!("service `{name}` declares no kind `{}`", query.kind);
-            return Err((Reason::UnknownKind, detail));
+            return Err((FailureReason::UnknownKind, detail));
         }
         if let Some(first) = services.first().filter(|first| first.index != service.index) {
             let detail = eco_format!("`{}` and `{name}` are of two indexes", first.service);
-            return Err((Reason::SeveralIndexes, detail));
+            return Err((FailureReason::SeveralIndexes, detail));
         }
         services.push(service);
     }
@@ -302,29 +323,30 @@
 }
 
 /// An id in the set of running requests, taken out when the request ends or its caller goes away.
-struct RunningId {
-    http: Arc<Http>,
+struct ActiveRequestGuard {
+    http: Arc<HttpState>,
     id: EcoString,
 }
 
-impl RunningId {
-    fn enter(http: &Arc<Http>, id: &EcoString) -> Option<Self> {
-        let mut running = http.running.lock().unwrap_or_else(PoisonError::into_inner);
+impl ActiveRequestGuard {
+    fn try_insert(http: &Arc<HttpState>, id: &EcoString) -> Option<Self> {
+        let mut running = http.active_request_ids.lock().unwrap_or_else(PoisonError::into_inner);
         let is_new = running.insert(id.clone());
         drop(running);
         is_new.then(|| Self { http: http.clone(), id: id.clone() })
     }
 }
 
-impl Drop for RunningId {
+impl Drop for ActiveRequestGuard {
     fn drop(&mut self) {
-        let mut running = self.http.running.lock().unwrap_or_else(PoisonError::into_inner);
+        let mut running =
+            self.http.active_request_ids.lock().unwrap_or_else(PoisonError::into_inner);
         running.swap_remove(&self.id);
     }
 }
 
 /// The addresses that a caller should use: none that is leaving or out, its own domain's first.
-fn entry_addresses(view: &View, failure_domain: Option<&EcoString>) -> Vec<EntryAddress> {
+fn ingress_addresses(view: &View, failure_domain: Option<&EcoString>) -> Vec<IngressAddress> {
     let out = &view.configuration.domains_out;
     let is_offered = |state: MemberState| matches!(state, MemberState::Alive);
     let mut members: Vec<_> = view
@@ -336,7 +358,7 @@
     members.shuffle(&mut rand::rng());
     members.sort_by_key(|member| Some(&member.failure_domain) != failure_domain);
     members.truncate(MAX_ADDRESSES);
-    let entry = |member: &&sassafrasproxy_core::Member| EntryAddress {
+    let entry = |member: &&sassafrasproxy_core::Member| IngressAddress {
         address: member.address.clone(),
         failure_domain: member.failure_domain.clone(),
     };
--- a/crates/sassafrasproxy-node/src/lib.rs
+++ b/crates/sassafrasproxy-node/src/lib.rs
@@ -1,23 +1,23 @@
 //! The shells of a node: they turn effects into I/O and I/O into events, and decide nothing.
 
-mod answers;
-mod callers;
-mod claims;
+mod caller_connections;
+mod claim_buckets;
 mod control;
 mod events;
 mod http;
-mod lane;
-mod lanes;
 mod metrics;
 mod node;
-mod once;
+mod non_idempotent;
+mod peer_client;
 mod peer_server;
-mod peers;
 mod platform;
 mod publish;
 mod query;
+mod replica_client;
+mod responses;
+mod scheduler_task;
+mod schedulers;
 mod shared;
-mod upstreams;
 
 pub use self::events::EventLog;
 pub use self::node::{Node, StartError, Tuning};
--- a/crates/sassafrasproxy-node/src/metrics.rs
+++ b/crates/sassafrasproxy-node/src/metrics.rs
@@ -4,10 +4,10 @@
 
 use cadence::prelude::*;
 use cadence::{BufferedUdpMetricSink, NopMetricSink, QueuingMetricSink, StatsdClient};
-use sassafrasproxy_wire::{Outcome, Reason};
+use sassafrasproxy_wire::{FailureReason, Outcome};
 
 /// The prefix of every metric.
-const PREFIX: &str = "sassafrasproxy";
+const METRIC_PREFIX: &str = "sassafrasproxy";
 
 /// The node's metrics; docs/OPERATIONS.md lists them by name and unit.
 #[derive(Debug)]
@@ -19,23 +19,23 @@
     /// Metrics that go to a statsd server, or nowhere.
     pub fn new(statsd: Option<SocketAddr>, node: &str) -> std::io::Result<Self> {
         let builder = match statsd {
-            None => StatsdClient::builder(PREFIX, NopMetricSink),
+            None => StatsdClient::builder(METRIC_PREFIX, NopMetricSink),
             Some(address) => {
                 let socket = UdpSocket::bind(("0.0.0.0", 0))?;
                 socket.set_nonblocking(true)?;
                 let sink =
                     BufferedUdpMetricSink::from(address, socket).map_err(std::io::Error::other)?;
-                StatsdClient::builder(PREFIX, QueuingMetricSink::from(sink))
+                StatsdClient::builder(METRIC_PREFIX, QueuingMetricSink::from(sink))
             }
         };
         Ok(Self { client: builder.with_tag("node", node).build() })
     }
 
     /// Counts a query that ended.
-    pub fn query_ended(
+    pub fn record_query_end(
         &self,
         outcome: Outcome,
-        reason: Option<Reason>,
+        reason: Option<FailureReason>,
         took_ms: u64,
         fraction: f64,
     ) {
@@ -55,17 +55,17 @@
     }
 
     /// Counts a sub-request that this node as entry asked for.
-    pub fn sub_request(&self) {
+    pub fn count_sub_request(&self) {
         self.client.count_with_tags("sub_requests", 1).send();
     }
 
     /// Counts a send to an upstream.
-    pub fn upstream_send(&self) {
+    pub fn count_upstream_send(&self) {
         self.client.count_with_tags("upstream_sends", 1).send();
     }
 
     /// Counts a hedge or a retry.
-    pub fn extra_send(&self, cause: &'static str) {
+    pub fn count_extra_attempt(&self, cause: &'static str) {
         self.client.count_with_tags("extra_sub_requests", 1).with_tag("cause", cause).send();
     }
 }
--- a/crates/sassafrasproxy-node/src/node.rs
+++ b/crates/sassafrasproxy-node/src/node.rs
@@ -8,34 +8,34 @@
 use ecow::{EcoString, eco_format};
 use jsonrpsee::server::ServerHandle;
 use poem::Server;
-use sassafrasproxy_clock::{Clock, wall_ms};
-use sassafrasproxy_config::Settings;
+use sassafrasproxy_clock::{Clock, unix_time_ms};
+use sassafrasproxy_config::NodeSettings;
 use sassafrasproxy_core::{ClaimPolicy, ControlEvent, ControlPlane, ControlPolicy};
-use sassafrasproxy_wire::{EventKind, MemberState, MemberUpdate};
+use sassafrasproxy_wire::{MemberState, MemberUpdate, TimelineEventKind};
 use thiserror::Error;
 use tokio::runtime::Handle;
 use tokio::sync::{mpsc, watch};
 
 use crate::PlatformClient;
-use crate::callers::{CallerAcceptor, Callers};
-use crate::claims::Claims;
+use crate::caller_connections::{CallerAcceptor, CallerConnections};
+use crate::claim_buckets::ClaimBuckets;
 use crate::control::{ControlInput, ControlThread};
 use crate::events::EventLog;
 use crate::http;
-use crate::lanes::Lanes;
 use crate::metrics::Metrics;
+use crate::peer_client::PeerClient;
 use crate::peer_server;
-use crate::peers::Peers;
+use crate::schedulers::Schedulers;
 use crate::shared::Shared;
 
 /// Hedges and retries as a fraction of the base load.
-const DEFAULT_EXTRA_FRACTION: f64 = 0.05;
+const DEFAULT_BUDGET_FRACTION: f64 = 0.05;
 
 /// How often a node that is leaving looks whether its work has drained.
-const DRAIN_CHECK: Duration = Duration::from_millis(50);
+const DRAIN_CHECK_INTERVAL: Duration = Duration::from_millis(50);
 
 /// How long a node that is leaving waits for work to drain after callers must have moved on.
-const DRAIN_LIMIT: Duration = Duration::from_secs(30);
+const DRAIN_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// Why a node could not start.
 #[derive(Debug, Error)]
@@ -50,7 +50,7 @@
     },
     /// The peer server could not be started.
     #[error("cannot serve peers: {detail}")]
-    Peers {
+    PeerServer {
         /// What the library says.
         detail: EcoString,
     },
@@ -62,7 +62,7 @@
     Platform(#[from] reqwest::Error),
     /// The control thread could not be started.
     #[error("cannot start the control thread: {0}")]
-    Thread(std::io::Error),
+    ControlThread(std::io::Error),
 }
 
 /// What measurements vary; a shipped node runs with the defaults.
@@ -71,7 +71,7 @@
     /// Times and counts of the control reducer.
     pub control: ControlPolicy,
     /// Hedges and retries as a fraction of the base load, 0 to 1.
-    pub extra_fraction: f64,
+    pub budget_fraction: f64,
     /// Times of the buckets of claims.
     pub claims: ClaimPolicy,
 }
@@ -80,7 +80,7 @@
     fn default() -> Self {
         Self {
             control: ControlPolicy::default(),
-            extra_fraction: DEFAULT_EXTRA_FRACTION,
+            budget_fraction: DEFAULT_BUDGET_FRACTION,
             claims: ClaimPolicy::default(),
         }
     }
@@ -97,24 +97,24 @@
 
 impl Node {
     /// Binds both sockets and starts the node on the current runtime.
-    pub fn start(settings: Settings, tuning: Tuning) -> Result<Self, StartError> {
+    pub fn start(settings: NodeSettings, tuning: Tuning) -> Result<Self, StartError> {
         let listener = bind(settings.listen)?;
         let peer_listener = bind(settings.peer_listen)?;
-        let (address, peer_address) = (local(&listener), local(&peer_listener));
+        let (address, peer_address) = (local_address(&listener), local_address(&peer_listener));
         let platform = PlatformClient::new(settings.platform.clone())?;
         let metrics = Metrics::new(settings.statsd, &settings.name).map_err(StartError::Metrics)?;
         let clock = Clock::start();
         let (control, inputs) = mpsc::unbounded_channel();
         let me = MemberUpdate {
             node: settings.name.clone(),
-            peer_address: text(settings.peer_advertise.unwrap_or(peer_address)),
-            address: text(settings.advertise.unwrap_or(address)),
+            peer_address: format_address(settings.peer_advertise.unwrap_or(peer_address)),
+            address: format_address(settings.advertise.unwrap_or(address)),
             failure_domain: settings.failure_domain.clone(),
             relay_address: EcoString::new(),
             cpu_millis: 0,
             state: MemberState::Alive,
             // The wall time overrules what members remember of an earlier life of this name.
-            incarnation: wall_ms(),
+            incarnation: unix_time_ms(),
         };
         let reducer = ControlPlane::new(
             &me,
@@ -128,22 +128,22 @@
             view: ArcSwap::from_pointee(reducer.view()),
             events: EventLog::new(settings.name.clone(), settings.failure_domain.clone()),
             metrics,
-            peers: Peers::new(clock),
-            lanes: Lanes::default(),
-            claims: Claims::default(),
+            peer_client: PeerClient::new(clock),
+            schedulers: Schedulers::default(),
+            claim_buckets: ClaimBuckets::default(),
             platform: platform.clone(),
-            control,
-            life: eco_format!("{}-{:x}", settings.name, wall_ms()),
+            control_sender: control,
+            instance_id: eco_format!("{}-{:x}", settings.name, unix_time_ms()),
             settings,
             tuning,
         });
         let (_, peer_server) =
             peer_server::serve(peer_listener, &Handle::current(), shared.clone())
-                .map_err(|error| StartError::Peers { detail: eco_format!("{error}") })?;
+                .map_err(|error| StartError::PeerServer { detail: eco_format!("{error}") })?;
         ControlThread::start(reducer, shared.clone(), platform, inputs)
-            .map_err(StartError::Thread)?;
+            .map_err(StartError::ControlThread)?;
         let stop_http = serve_http(listener, shared.clone());
-        shared.events.note(None, EventKind::NodeStarted);
+        shared.events.record(None, TimelineEventKind::NodeStarted);
         Ok(Self { shared, address, peer_address, peer_server, stop_http })
     }
 
@@ -160,26 +160,26 @@
     /// Shuts down gracefully: announces it, hands over, serves until callers have moved on and
     /// work has drained, and ends.
     pub async fn shut_down(self) {
-        self.shared.tell(ControlEvent::Shutdown);
+        self.shared.send_control_event(ControlEvent::Shutdown);
         let keep = Duration::from_millis(self.shared.settings.address_keep_ms);
         tokio::time::sleep(keep).await;
         let drained = async {
-            while !self.shared.lanes.are_idle().await {
-                tokio::time::sleep(DRAIN_CHECK).await;
+            while !self.shared.schedulers.are_idle().await {
+                tokio::time::sleep(DRAIN_CHECK_INTERVAL).await;
             }
         };
-        let _ = tokio::time::timeout(DRAIN_LIMIT, drained).await;
-        self.shared.events.note(None, EventKind::NodeStopped);
+        let _ = tokio::time::timeout(DRAIN_TIMEOUT, drained).await;
+        self.shared.events.record(None, TimelineEventKind::NodeStopped);
         self.stop();
         // The HTTP server finishes the answers that it is sending.
-        tokio::time::sleep(DRAIN_CHECK).await;
+        tokio::time::sleep(DRAIN_CHECK_INTERVAL).await;
     }
 
     /// Ends at once.
     pub fn stop(&self) {
         self.stop_http.send_replace(true);
         let _ = self.peer_server.stop();
-        let _ = self.shared.control.send(ControlInput::Stop);
+        let _ = self.shared.control_sender.send(ControlInput::Stop);
     }
 }
 
@@ -187,7 +187,7 @@
 fn serve_http(listener: TcpListener, shared: Arc<Shared>) -> watch::Sender<bool> {
     let (stop, mut stopped) = watch::channel(false);
     tokio::spawn(async move {
-        let callers = Callers::default();
+        let callers = CallerConnections::default();
         let acceptor = match CallerAcceptor::new(listener, callers.clone()) {
             Ok(acceptor) => acceptor,
             Err(error) => return log::error!("cannot serve callers: {error}"),
@@ -213,10 +213,10 @@
 }
 
 /// The address that a socket is bound to.
-fn local(listener: &TcpListener) -> SocketAddr {
+fn local_address(listener: &TcpListener) -> SocketAddr {
     listener.local_addr().expect("a bound socket has an address")
 }
 
-fn text(address: SocketAddr) -> EcoString {
+fn format_address(address: SocketAddr) -> EcoString {
     eco_format!("{address}")
 }
--- a/crates/sassafrasproxy-node/src/once.rs
+++ b/crates/sassafrasproxy-node/src/non_idempotent.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use ecow::EcoString;
-use sassafrasproxy_wire::{ClaimAnswer, Ending, Outcome, RecordRequest};
+use sassafrasproxy_wire::{ClaimAnswer, Ending, Outcome, RecordEndingRequest};
 use tokio::sync::oneshot;
 use xxhash_rust::xxh3::Xxh3;
 
@@ -12,20 +12,20 @@
 use crate::shared::Shared;
 
 /// The largest answer that is kept for a repeat of its request, in bytes.
-const MAX_KEPT_BYTES: usize = 8_192;
+const MAX_STORED_ANSWER_BYTES: usize = 8_192;
 
 /// What came of a request that may run once only.
-pub enum OnceResult {
+pub enum NonIdempotentResult {
     /// It ran now, or was refused without a run.
-    Ran(QueryResult),
+    Finished(QueryResult),
     /// It was answered before, with this text.
-    AnsweredBefore(EcoString),
+    AlreadyAnswered(EcoString),
     /// Its key was used before, and what became of that request is not known.
-    UsedBefore,
+    KeyUsed,
     /// Its key was used before for another request.
     KeyReused,
     /// No claim could be had in time, so it was not run.
-    Unclaimed,
+    ClaimUnavailable,
 }
 
 /// Claims a request's key, runs it if the claim is granted, and records what became of it.
@@ -35,52 +35,52 @@
     shared: &Arc<Shared>,
     job: &QueryJob,
     to_text: impl FnOnce(&QueryResult) -> Option<EcoString>,
-) -> OnceResult {
+) -> NonIdempotentResult {
     let fingerprint = fingerprint(job);
     let left_us = job.spec.soft_deadline_us.saturating_sub(shared.clock.now_us());
     let (sender, claim) = oneshot::channel();
-    tokio::spawn(claim_for(shared.clone(), job.request_id.clone(), fingerprint, sender));
+    tokio::spawn(claim_or_release(shared.clone(), job.request_id.clone(), fingerprint, sender));
     let claim = tokio::time::timeout(Duration::from_micros(left_us), claim).await;
-    let Ok(Ok((answer, token))) = claim else { return OnceResult::Unclaimed };
+    let Ok(Ok((answer, token))) = claim else { return NonIdempotentResult::ClaimUnavailable };
     match answer {
         ClaimAnswer::Granted => {}
-        ClaimAnswer::Unavailable => return OnceResult::Unclaimed,
+        ClaimAnswer::Unavailable => return NonIdempotentResult::ClaimUnavailable,
         ClaimAnswer::Held { fingerprint: held, .. } if held != fingerprint => {
-            return OnceResult::KeyReused;
+            return NonIdempotentResult::KeyReused;
         }
         ClaimAnswer::Held { ending: Some(Ending::Answered { text: Some(text) }), .. } => {
-            return OnceResult::AnsweredBefore(text);
+            return NonIdempotentResult::AlreadyAnswered(text);
         }
-        ClaimAnswer::Held { .. } => return OnceResult::UsedBefore,
+        ClaimAnswer::Held { .. } => return NonIdempotentResult::KeyUsed,
     }
     let result = query::run(shared, job).await;
     let ending = match result.end.outcome {
-        Outcome::Answered => Ending::Answered { text: to_text(&result).filter(is_small) },
+        Outcome::Answered => Ending::Answered { text: to_text(&result).filter(fits_stored_answer) },
         Outcome::NotRun => Ending::NotRun,
         Outcome::Unknown | Outcome::Partial => Ending::Unknown,
     };
-    let record = RecordRequest { key: job.request_id.clone(), token, ending };
+    let record = RecordEndingRequest { key: job.request_id.clone(), token, ending };
     let shared = shared.clone();
-    tokio::spawn(async move { shared.claims.record(&shared, record).await });
-    OnceResult::Ran(result)
+    tokio::spawn(async move { shared.claim_buckets.record_ending(&shared, record).await });
+    NonIdempotentResult::Finished(result)
 }
 
 /// Claims a key; a claim that comes too late for its request is given back.
-async fn claim_for(
+async fn claim_or_release(
     shared: Arc<Shared>,
     key: EcoString,
     fingerprint: u64,
     asker: oneshot::Sender<(ClaimAnswer, EcoString)>,
 ) {
-    let claim = shared.claims.claim(&shared, &key, fingerprint).await;
+    let claim = shared.claim_buckets.claim(&shared, &key, fingerprint).await;
     if let Err((ClaimAnswer::Granted, token)) = asker.send(claim) {
-        let record = RecordRequest { key, token, ending: Ending::NotRun };
-        shared.claims.record(&shared, record).await;
+        let record = RecordEndingRequest { key, token, ending: Ending::NotRun };
+        shared.claim_buckets.record_ending(&shared, record).await;
     }
 }
 
-fn is_small(text: &EcoString) -> bool {
-    text.len() <= MAX_KEPT_BYTES
+fn fits_stored_answer(text: &EcoString) -> bool {
+    text.len() <= MAX_STORED_ANSWER_BYTES
 }
 
 /// A hash of everything that makes a request what it is.
--- a/crates/sassafrasproxy-node/src/peers.rs
+++ b/crates/sassafrasproxy-node/src/peer_client.rs
@@ -12,10 +12,10 @@
 use sassafrasproxy_clock::Clock;
 use sassafrasproxy_wire::{
     CANCEL_METHOD, CLAIM_METHOD, CONFIGURATION_METHOD, CancelRequest, ClaimAnswer, ClaimRequest,
-    ConfigurationRequest, HAND_OVER_METHOD, HOLDINGS_METHOD, HandOver, Heartbeat, NodeHoldings,
-    PING_METHOD, PROBE_FOR_METHOD, PROBE_METHOD, PUSH_HOLDINGS_METHOD, PeerConfiguration, ProbeFor,
-    QUARANTINE_METHOD, QuarantineNotice, RECORD_METHOD, RecordRequest, SUB_REQUEST_METHOD,
-    SubReply, SubRequest,
+    ConfigurationRequest, HAND_OVER_METHOD, HOLDINGS_METHOD, HandOver, Heartbeat,
+    INDIRECT_PROBE_METHOD, IndirectProbeRequest, NodeHoldings, PING_METHOD, PROBE_METHOD,
+    PUSH_HOLDINGS_METHOD, PeerConfiguration, QUARANTINE_METHOD, QuarantineNotice,
+    RECORD_ENDING_METHOD, RecordEndingRequest, SUB_REQUEST_METHOD, SubRequest, SubRequestReply,
 };
 use serde::Serialize;
 use serde::de::DeserializeOwned;
@@ -28,7 +28,7 @@
 const CONTROL_TIMEOUT: Duration = Duration::from_millis(400);
 
 /// How long a connection may be quiet under an open sub-request before it is pinged.
-const QUIET: Duration = Duration::from_millis(10);
+const IDLE_BEFORE_PING: Duration = Duration::from_millis(10);
 
 /// How long such a ping may take.
 const PING_TIMEOUT: Duration = Duration::from_millis(25);
@@ -37,7 +37,7 @@
 const MAX_MESSAGE_BYTES: u32 = 16 << 20;
 
 /// The most calls that wait on one connection.
-const MAX_CALLS: usize = 65_536;
+const MAX_CONCURRENT_CALLS: usize = 65_536;
 
 /// Why a call to a peer failed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
@@ -47,7 +47,7 @@
     Unreachable,
     /// The connection was lost or silent; the peer may have received the call.
     #[error("the connection to the peer was lost")]
-    Lost,
+    ConnectionLost,
     /// The peer did not answer in time.
     #[error("the peer did not answer in time")]
     TimedOut,
@@ -58,14 +58,14 @@
 
 /// Connections to peers by address, made when they are first used.
 #[derive(Debug)]
-pub struct Peers {
+pub struct PeerClient {
     clock: Clock,
-    slots: Mutex<IndexMap<EcoString, Arc<Slot>>>,
+    entries: Mutex<IndexMap<EcoString, Arc<PeerEntry>>>,
 }
 
 /// The place of one peer's connection.
 #[derive(Debug, Default)]
-struct Slot {
+struct PeerEntry {
     connection: tokio::sync::Mutex<Option<Arc<Connection>>>,
 }
 
@@ -74,15 +74,15 @@
 struct Connection {
     client: WsClient,
     /// When anything last came back.
-    heard_us: AtomicU64,
+    last_received_us: AtomicU64,
     is_pinging: AtomicBool,
-    is_condemned: AtomicBool,
+    is_retired: AtomicBool,
 }
 
-impl Peers {
+impl PeerClient {
     /// No connections yet.
     pub fn new(clock: Clock) -> Self {
-        Self { clock, slots: Mutex::default() }
+        Self { clock, entries: Mutex::default() }
     }
 
     /// Asks a home to run a sub-request.
@@ -90,57 +90,57 @@
     /// Guards against a connection that is silent for good and a peer that is paused: while the
     /// answer is open and nothing else comes back, the connection is pinged; without an answer
     /// to that it is condemned, long before the query's deadline.
-    pub async fn sub_request(
+    pub async fn send_sub_request(
         &self,
         address: &EcoString,
         request: &SubRequest,
         timeout: Duration,
-    ) -> Result<SubReply, PeerError> {
+    ) -> Result<SubRequestReply, PeerError> {
         let connection = self.connect(address).await?;
         let call = call(&connection.client, SUB_REQUEST_METHOD, request);
-        let watch = self.watch(&connection);
+        let watch = self.wait_until_stalled(&connection);
         let result = tokio::select! {
             result = call => result,
-            () = watch => Err(PeerError::Lost),
+            () = watch => Err(PeerError::ConnectionLost),
             () = tokio::time::sleep(timeout) => return Err(PeerError::TimedOut),
         };
         match result {
-            Ok(_) => connection.heard_us.store(self.clock.now_us(), Ordering::Relaxed),
-            Err(PeerError::Lost) => connection.is_condemned.store(true, Ordering::Relaxed),
+            Ok(_) => connection.last_received_us.store(self.clock.now_us(), Ordering::Relaxed),
+            Err(PeerError::ConnectionLost) => connection.is_retired.store(true, Ordering::Relaxed),
             Err(_) => {}
         }
         result
     }
 
     /// Ends when the connection is silent for good.
-    async fn watch(&self, connection: &Connection) {
+    async fn wait_until_stalled(&self, connection: &Connection) {
         let asked_us = self.clock.now_us();
-        let quiet_us = QUIET.as_micros() as u64;
+        let quiet_us = IDLE_BEFORE_PING.as_micros() as u64;
         loop {
-            tokio::time::sleep(QUIET).await;
-            if connection.is_condemned.load(Ordering::Relaxed) {
+            tokio::time::sleep(IDLE_BEFORE_PING).await;
+            if connection.is_retired.load(Ordering::Relaxed) {
                 return;
             }
-            let heard_us = connection.heard_us.load(Ordering::Relaxed).max(asked_us);
+            let heard_us = connection.last_received_us.load(Ordering::Relaxed).max(asked_us);
             let is_quiet = self.clock.now_us() >= heard_us + quiet_us;
             if !is_quiet || connection.is_pinging.swap(true, Ordering::Relaxed) {
                 continue;
             }
             // The one who pings may be dropped meanwhile; the next must still be able to.
-            let _pinging = Pinging(connection);
+            let _pinging = PingGuard(connection);
             let ping = call::<_, ()>(&connection.client, PING_METHOD, &());
             let is_heard = matches!(tokio::time::timeout(PING_TIMEOUT, ping).await, Ok(Ok(())));
             if !is_heard {
-                connection.is_condemned.store(true, Ordering::Relaxed);
+                connection.is_retired.store(true, Ordering::Relaxed);
                 return;
             }
-            connection.heard_us.store(self.clock.now_us(), Ordering::Relaxed);
+            connection.last_received_us.store(self.clock.now_us(), Ordering::Relaxed);
         }
     }
 
     /// Whether a peer answers over a new connection.
-    pub async fn is_alive(&self, address: &EcoString) -> bool {
-        self.condemn(address).await;
+    pub async fn ping_on_new_connection(&self, address: &EcoString) -> bool {
+        self.retire_connection(address).await;
         let check = async {
             let connection = self.connect(address).await.ok()?;
             call::<_, ()>(&connection.client, PING_METHOD, &()).await.ok()
@@ -166,8 +166,8 @@
         heartbeat: &Heartbeat,
     ) -> Result<Heartbeat, PeerError> {
         match self.control_call(address, PROBE_METHOD, heartbeat).await {
-            Err(PeerError::Lost | PeerError::TimedOut) => {
-                self.condemn(address).await;
+            Err(PeerError::ConnectionLost | PeerError::TimedOut) => {
+                self.retire_connection(address).await;
                 self.control_call(address, PROBE_METHOD, heartbeat).await
             }
             result => result,
@@ -178,13 +178,13 @@
     pub async fn probe_for(
         &self,
         address: &EcoString,
-        request: &ProbeFor,
+        request: &IndirectProbeRequest,
     ) -> Result<Option<Heartbeat>, PeerError> {
-        self.control_call(address, PROBE_FOR_METHOD, request).await
+        self.control_call(address, INDIRECT_PROBE_METHOD, request).await
     }
 
     /// Reads a peer's configuration.
-    pub async fn configuration(
+    pub async fn fetch_configuration(
         &self,
         address: &EcoString,
         request: &ConfigurationRequest,
@@ -193,7 +193,7 @@
     }
 
     /// Reads the holdings that a peer published.
-    pub async fn holdings(&self, address: &EcoString) -> Result<NodeHoldings, PeerError> {
+    pub async fn fetch_holdings(&self, address: &EcoString) -> Result<NodeHoldings, PeerError> {
         self.control_call(address, HOLDINGS_METHOD, &()).await
     }
 
@@ -207,7 +207,11 @@
     }
 
     /// Hands a group to its new home.
-    pub async fn hand_over(&self, address: &EcoString, given: &HandOver) -> Result<(), PeerError> {
+    pub async fn send_hand_over(
+        &self,
+        address: &EcoString,
+        given: &HandOver,
+    ) -> Result<(), PeerError> {
         self.control_call(address, HAND_OVER_METHOD, given).await
     }
 
@@ -221,16 +225,16 @@
     }
 
     /// Tells a bucket's home what became of a request.
-    pub async fn record(
+    pub async fn record_ending(
         &self,
         address: &EcoString,
-        request: &RecordRequest,
+        request: &RecordEndingRequest,
     ) -> Result<(), PeerError> {
-        self.control_call(address, RECORD_METHOD, request).await
+        self.control_call(address, RECORD_ENDING_METHOD, request).await
     }
 
     /// Tells a peer that a request crashes upstreams.
-    pub async fn quarantine(
+    pub async fn send_quarantine(
         &self,
         address: &EcoString,
         notice: &QuarantineNotice,
@@ -249,14 +253,14 @@
         let result = tokio::time::timeout(CONTROL_TIMEOUT, call).await;
         let result = result.unwrap_or(Err(PeerError::TimedOut));
         if result.is_ok() {
-            connection.heard_us.store(self.clock.now_us(), Ordering::Relaxed);
+            connection.last_received_us.store(self.clock.now_us(), Ordering::Relaxed);
         }
         result
     }
 
     /// The connection to a peer, made now if there is none that works.
     async fn connect(&self, address: &EcoString) -> Result<Arc<Connection>, PeerError> {
-        let slot = self.slot(address);
+        let slot = self.entry(address);
         let mut place = slot.connection.lock().await;
         if let Some(connection) = place.as_ref()
             && connection.is_usable()
@@ -265,7 +269,7 @@
         }
         let client = WsClientBuilder::default()
             .connection_timeout(CONNECT_TIMEOUT)
-            .max_concurrent_requests(MAX_CALLS)
+            .max_concurrent_requests(MAX_CONCURRENT_CALLS)
             .max_request_size(MAX_MESSAGE_BYTES)
             .max_response_size(MAX_MESSAGE_BYTES)
             .set_tcp_no_delay(true)
@@ -274,32 +278,32 @@
             .map_err(|_| PeerError::Unreachable)?;
         let connection = Arc::new(Connection {
             client,
-            heard_us: AtomicU64::new(self.clock.now_us()),
+            last_received_us: AtomicU64::new(self.clock.now_us()),
             is_pinging: AtomicBool::new(false),
-            is_condemned: AtomicBool::new(false),
+            is_retired: AtomicBool::new(false),
         });
         *place = Some(connection.clone());
         Ok(connection)
     }
 
     /// Takes a connection out of use, so that the next call makes a new one.
-    async fn condemn(&self, address: &EcoString) {
-        let slot = self.slot(address);
+    async fn retire_connection(&self, address: &EcoString) {
+        let slot = self.entry(address);
         if let Some(connection) = slot.connection.lock().await.take() {
-            connection.is_condemned.store(true, Ordering::Relaxed);
+            connection.is_retired.store(true, Ordering::Relaxed);
         }
     }
 
-    fn slot(&self, address: &EcoString) -> Arc<Slot> {
-        let mut slots = self.slots.lock().unwrap_or_else(PoisonError::into_inner);
+    fn entry(&self, address: &EcoString) -> Arc<PeerEntry> {
+        let mut slots = self.entries.lock().unwrap_or_else(PoisonError::into_inner);
         slots.entry(address.clone()).or_default().clone()
     }
 }
 
 /// Marks a connection as being pinged while it lives.
-struct Pinging<'a>(&'a Connection);
+struct PingGuard<'a>(&'a Connection);
 
-impl Drop for Pinging<'_> {
+impl Drop for PingGuard<'_> {
     fn drop(&mut self) {
         self.0.is_pinging.store(false, Ordering::Relaxed);
     }
@@ -307,7 +311,7 @@
 
 impl Connection {
     fn is_usable(&self) -> bool {
-        self.client.is_connected() && !self.is_condemned.load(Ordering::Relaxed)
+        self.client.is_connected() && !self.is_retired.load(Ordering::Relaxed)
     }
 }
 
@@ -322,6 +326,6 @@
             PeerError::Refused
         }
         RpcError::RequestTimeout => PeerError::TimedOut,
-        _ => PeerError::Lost,
+        _ => PeerError::ConnectionLost,
     })
 }
--- a/crates/sassafrasproxy-node/src/platform.rs
+++ b/crates/sassafrasproxy-node/src/platform.rs
@@ -13,7 +13,7 @@
 const CALL_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// What a watch may take beyond its own wait.
-const WATCH_SLACK: Duration = Duration::from_secs(2);
+const WATCH_TIMEOUT_MARGIN: Duration = Duration::from_secs(2);
 
 /// The characters of a key that need no escape in a path.
 const KEY_ESCAPES: &AsciiSet =
@@ -27,7 +27,7 @@
     Unreachable,
     /// The platform refused the call for its rate; it had no effect.
     #[error("the platform's call budget is used up; try again later")]
-    OverRate,
+    RateLimited,
     /// The value is too large.
     #[error("the value is larger than the platform takes")]
     TooLarge,
@@ -46,14 +46,14 @@
 #[derive(Debug, Clone)]
 pub struct PlatformClient {
     client: Client,
-    base: EcoString,
+    base_url: EcoString,
 }
 
 impl PlatformClient {
     /// A client for a base URL without a slash at the end.
     pub fn new(base: EcoString) -> Result<Self, reqwest::Error> {
         let client = Client::builder().no_proxy().timeout(CALL_TIMEOUT).build()?;
-        Ok(Self { client, base })
+        Ok(Self { client, base_url: base })
     }
 
     /// Reads one key.
@@ -80,7 +80,7 @@
 
     /// Reads all keys with a prefix.
     pub async fn list(&self, prefix: &str) -> Result<KvItems, PlatformError> {
-        let url = format!("{}/kv", self.base);
+        let url = format!("{}/kv", self.base_url);
         read_json(send(self.client.get(url).query(&[("prefix", prefix)])).await?).await
     }
 
@@ -94,20 +94,20 @@
         let wait_ms = wait.as_millis() as u64;
         let request = self
             .client
-            .get(format!("{}/watch", self.base))
+            .get(format!("{}/watch", self.base_url))
             .query(&[("prefix", prefix)])
             .query(&[("after", after), ("wait_ms", wait_ms)])
-            .timeout(wait + WATCH_SLACK);
+            .timeout(wait + WATCH_TIMEOUT_MARGIN);
         read_json(send(request).await?).await
     }
 
     /// Reads the list of VMs, which lags.
-    pub async fn vms(&self) -> Result<Vec<VmEntry>, PlatformError> {
-        read_json(send(self.client.get(format!("{}/vms", self.base))).await?).await
+    pub async fn list_vms(&self) -> Result<Vec<VmEntry>, PlatformError> {
+        read_json(send(self.client.get(format!("{}/vms", self.base_url))).await?).await
     }
 
     fn key_url(&self, key: &str) -> String {
-        format!("{}/kv/{}", self.base, utf8_percent_encode(key, KEY_ESCAPES))
+        format!("{}/kv/{}", self.base_url, utf8_percent_encode(key, KEY_ESCAPES))
     }
 }
 
@@ -121,7 +121,7 @@
             let place: KvRevision = read_json(response).await?;
             Err(PlatformError::Conflict { revision: place.revision })
         }
-        StatusCode::TOO_MANY_REQUESTS => Err(PlatformError::OverRate),
+        StatusCode::TOO_MANY_REQUESTS => Err(PlatformError::RateLimited),
         StatusCode::PAYLOAD_TOO_LARGE => Err(PlatformError::TooLarge),
         status if status.is_server_error() => Err(PlatformError::Unknown),
         _ => Ok(response),
--- a/crates/sassafrasproxy-node/src/query.rs
+++ b/crates/sassafrasproxy-node/src/query.rs
@@ -9,22 +9,23 @@
     ControlEvent, Query, QueryEffect, QueryEnd, QueryEvent, QuerySpec, ShardRequestToken, View,
 };
 use sassafrasproxy_wire::{
-    Body, CancelRequest, EventKind, Reason, ShardId, SnapshotId, SubOutcome, SubReply, SubRequest,
+    Body, CancelRequest, FailureReason, ShardId, SnapshotId, SubRequest, SubRequestOutcome,
+    SubRequestReply, TimelineEventKind,
 };
 use tokio::task::{AbortHandle, JoinSet};
 
-use crate::peers::PeerError;
+use crate::peer_client::PeerError;
+use crate::replica_client::remaining_ms;
 use crate::shared::Shared;
-use crate::upstreams::remaining_ms;
 
 /// The part of the time left that is kept back for a home's reply: one part in this many.
-const REPLY_MARGIN_PART: u64 = 32;
+const REPLY_RESERVE_DIVISOR: u64 = 32;
 
 /// The least time kept back for a home's reply, in microseconds.
-const LEAST_REPLY_MARGIN_US: u64 = 2_000;
+const MIN_REPLY_RESERVE_US: u64 = 2_000;
 
 /// How much later than its own deadline a home's answer may come.
-const HOME_GRACE: Duration = Duration::from_millis(10);
+const HOME_REPLY_GRACE: Duration = Duration::from_millis(10);
 
 /// What a caller asked, checked.
 #[derive(Debug, Clone)]
@@ -54,8 +55,8 @@
         shared,
         job,
         query: Query::new(job.spec.clone()),
-        asks: JoinSet::new(),
-        running: IndexMap::new(),
+        shard_requests: JoinSet::new(),
+        abort_handles: IndexMap::new(),
         bodies: IndexMap::new(),
         started_us: shared.clock.now_us(),
     };
@@ -66,12 +67,12 @@
         }
         let wake_us = task.query.soft_deadline_us();
         step = tokio::select! {
-            Some(answer) = task.asks.join_next() => match answer {
-                Ok((token, answer)) => task.answered(token, answer),
+            Some(answer) = task.shard_requests.join_next() => match answer {
+                Ok((token, answer)) => task.handle_result(token, answer),
                 // An aborted ask is one that the reducer gave up on.
                 Err(_) => None,
             },
-            () = tokio::time::sleep_until(shared.clock.instant(wake_us)) => {
+            () = tokio::time::sleep_until(shared.clock.instant_at(wake_us)) => {
                 task.step(QueryEvent::Timer)
             }
         };
@@ -83,39 +84,43 @@
     shared: &'a Arc<Shared>,
     job: &'a QueryJob,
     query: Query,
-    asks: JoinSet<(ShardRequestToken, AskAnswer)>,
-    running: IndexMap<ShardRequestToken, AbortHandle>,
+    shard_requests: JoinSet<(ShardRequestToken, ShardRequestResult)>,
+    abort_handles: IndexMap<ShardRequestToken, AbortHandle>,
     bodies: IndexMap<ShardRequestToken, Body>,
     started_us: u64,
 }
 
 /// What came of an ask.
-enum AskAnswer {
-    Replied(SubReply),
+enum ShardRequestResult {
+    Replied(SubRequestReply),
     Unreachable { may_have_arrived: bool, is_alive: bool },
 }
 
 impl QueryTask<'_> {
-    fn answered(&mut self, token: ShardRequestToken, answer: AskAnswer) -> Option<QueryEnd> {
-        self.running.swap_remove(&token);
+    fn handle_result(
+        &mut self,
+        token: ShardRequestToken,
+        answer: ShardRequestResult,
+    ) -> Option<QueryEnd> {
+        self.abort_handles.swap_remove(&token);
         let event = match answer {
-            AskAnswer::Replied(reply) => {
+            ShardRequestResult::Replied(reply) => {
                 if let Some(holdings) = reply.holdings {
-                    self.shared.tell(ControlEvent::GroupHoldingsReceived(holdings));
+                    self.shared.send_control_event(ControlEvent::GroupHoldingsReceived(holdings));
                 }
                 let outcome = match (reply.outcome, reply.body) {
-                    (SubOutcome::Answered, Some(body)) => {
+                    (SubRequestOutcome::Answered, Some(body)) => {
                         self.bodies.insert(token, body);
-                        SubOutcome::Answered
+                        SubRequestOutcome::Answered
                     }
-                    (SubOutcome::Answered, None) => {
-                        SubOutcome::Unknown { reason: Reason::Malformed }
+                    (SubRequestOutcome::Answered, None) => {
+                        SubRequestOutcome::Unknown { reason: FailureReason::Malformed }
                     }
                     (outcome, _) => outcome,
                 };
                 QueryEvent::Replied { token, outcome }
             }
-            AskAnswer::Unreachable { may_have_arrived, is_alive } => {
+            ShardRequestResult::Unreachable { may_have_arrived, is_alive } => {
                 QueryEvent::Unreachable { token, may_have_arrived, is_alive }
             }
         };
@@ -129,15 +134,15 @@
         for effect in self.query.step(self.shared.clock.now_us(), event, &view) {
             match effect {
                 QueryEffect::RequestShard { token, node, shard, snapshot, is_fallback } => {
-                    self.ask(&view, token, node, shard, snapshot, is_fallback);
+                    self.request_shard(&view, token, node, shard, snapshot, is_fallback);
                 }
                 QueryEffect::Abandon { token } => {
-                    if let Some(ask) = self.running.swap_remove(&token) {
+                    if let Some(ask) = self.abort_handles.swap_remove(&token) {
                         ask.abort();
                     }
                 }
                 QueryEffect::RecordEvent(kind) => {
-                    self.shared.events.note(Some(self.job.request_id.clone()), kind);
+                    self.shared.events.record(Some(self.job.request_id.clone()), kind);
                 }
                 QueryEffect::Finish(finished) => end = Some(finished),
             }
@@ -146,7 +151,7 @@
     }
 
     /// Asks a node for a shard, in a task of its own.
-    fn ask(
+    fn request_shard(
         &mut self,
         view: &View,
         token: ShardRequestToken,
@@ -157,7 +162,12 @@
     ) {
         let now_us = self.shared.clock.now_us();
         let request = SubRequest {
-            id: eco_format!("{}-{}-{}", self.job.request_id, self.shared.life, self.tag(token)),
+            id: eco_format!(
+                "{}-{}-{}",
+                self.job.request_id,
+                self.shared.instance_id,
+                self.id_suffix(token)
+            ),
             request_id: self.job.request_id.clone(),
             shard,
             snapshot,
@@ -167,27 +177,32 @@
             forwarded: false,
             body: self.job.body.clone(),
         };
-        self.shared.metrics.sub_request();
+        self.shared.metrics.count_sub_request();
         let shared = self.shared.clone();
         let address = view.members.get(&node).map(|member| member.peer_address.clone());
         let is_me = node == view.local_node;
-        let ask = self.asks.spawn(async move {
+        let ask = self.shard_requests.spawn(async move {
             if is_me {
-                return (token, AskAnswer::Replied(shared.lanes.ask(&shared, request).await));
+                return (
+                    token,
+                    ShardRequestResult::Replied(
+                        shared.schedulers.run_sub_request(&shared, request).await,
+                    ),
+                );
             }
             let Some(address) = address else {
                 return (
                     token,
-                    AskAnswer::Unreachable { may_have_arrived: false, is_alive: false },
+                    ShardRequestResult::Unreachable { may_have_arrived: false, is_alive: false },
                 );
             };
-            (token, ask_peer(&shared, node, address, request).await)
+            (token, request_from_peer(&shared, node, address, request).await)
         });
-        self.running.insert(token, ask);
+        self.abort_handles.insert(token, ask);
     }
 
     /// Tells the asks of one query from those of another with the same request id.
-    fn tag(&self, token: ShardRequestToken) -> EcoString {
+    fn id_suffix(&self, token: ShardRequestToken) -> EcoString {
         eco_format!("{}.{}", self.started_us, token.0)
     }
 
@@ -197,9 +212,10 @@
         let took_ms = (self.shared.clock.now_us() - self.started_us) / 1_000;
         let reason = end.reason;
         let fraction = end.coverage.fraction;
-        self.shared.metrics.query_ended(end.outcome, reason, took_ms, fraction);
-        let kind = EventKind::QueryEnded { outcome: end.outcome, reason, fraction, took_ms };
-        self.shared.events.note(Some(self.job.request_id.clone()), kind);
+        self.shared.metrics.record_query_end(end.outcome, reason, took_ms, fraction);
+        let kind =
+            TimelineEventKind::QueryEnded { outcome: end.outcome, reason, fraction, took_ms };
+        self.shared.events.record(Some(self.job.request_id.clone()), kind);
         QueryResult { end, bodies }
     }
 }
@@ -208,42 +224,45 @@
 /// moment, which may prove that nothing ran, comes in time.
 fn home_deadline_ms(soft_deadline_us: u64, now_us: u64) -> u64 {
     let left_us = soft_deadline_us.saturating_sub(now_us);
-    let margin_us = (left_us / REPLY_MARGIN_PART).max(LEAST_REPLY_MARGIN_US);
+    let margin_us = (left_us / REPLY_RESERVE_DIVISOR).max(MIN_REPLY_RESERVE_US);
     remaining_ms(left_us, margin_us)
 }
 
 /// Asks a peer; tells it when the ask is given up.
-async fn ask_peer(
+async fn request_from_peer(
     shared: &Arc<Shared>,
     node: EcoString,
     address: EcoString,
     request: SubRequest,
-) -> AskAnswer {
-    let mut guard = CancelGuard { shared, address: &address, request: &request, is_open: true };
+) -> ShardRequestResult {
+    let mut guard = CancelGuard { shared, address: &address, request: &request, is_pending: true };
     // The home answers by its own, earlier deadline; this one is for a home that does not.
-    let timeout = Duration::from_millis(request.deadline_ms) + HOME_GRACE;
-    let answer = shared.peers.sub_request(&address, &request, timeout).await;
-    guard.is_open = matches!(answer, Err(PeerError::TimedOut));
+    let timeout = Duration::from_millis(request.deadline_ms) + HOME_REPLY_GRACE;
+    let answer = shared.peer_client.send_sub_request(&address, &request, timeout).await;
+    guard.is_pending = matches!(answer, Err(PeerError::TimedOut));
     drop(guard);
     let error = match answer {
-        Ok(reply) => return AskAnswer::Replied(reply),
+        Ok(reply) => return ShardRequestResult::Replied(reply),
         // A late answer says nothing of the connection, which other asks go on to use.
-        Err(PeerError::TimedOut) => return AskAnswer::Replied(overdue()),
+        Err(PeerError::TimedOut) => return ShardRequestResult::Replied(deadline_exceeded_reply()),
         Err(error) => error,
     };
     let may_have_arrived = error != PeerError::Unreachable;
-    let is_alive = may_have_arrived && shared.peers.is_alive(&address).await;
-    let kind =
-        EventKind::PeerFailed { peer: node.clone(), error: eco_format!("{error}"), is_alive };
-    shared.events.note(Some(request.request_id.clone()), kind);
-    shared.tell(ControlEvent::PeerFailed { node });
-    AskAnswer::Unreachable { may_have_arrived, is_alive }
+    let is_alive = may_have_arrived && shared.peer_client.ping_on_new_connection(&address).await;
+    let kind = TimelineEventKind::PeerFailed {
+        peer: node.clone(),
+        error: eco_format!("{error}"),
+        is_alive,
+    };
+    shared.events.record(Some(request.request_id.clone()), kind);
+    shared.send_control_event(ControlEvent::PeerFailed { node });
+    ShardRequestResult::Unreachable { may_have_arrived, is_alive }
 }
 
 /// The answer in place of one that did not come in time.
-fn overdue() -> SubReply {
-    let outcome = SubOutcome::Unknown { reason: Reason::DeadlineExceeded };
-    SubReply { outcome, holdings: None, body: None }
+fn deadline_exceeded_reply() -> SubRequestReply {
+    let outcome = SubRequestOutcome::Unknown { reason: FailureReason::DeadlineExceeded };
+    SubRequestReply { outcome, holdings: None, body: None }
 }
 
 /// Tells a peer that nobody waits for an ask any more, when the ask is dropped.
@@ -251,19 +270,19 @@
     shared: &'a Arc<Shared>,
     address: &'a EcoString,
     request: &'a SubRequest,
-    is_open: bool,
+    is_pending: bool,
 }
 
 impl Drop for CancelGuard<'_> {
     fn drop(&mut self) {
-        if !self.is_open {
+        if !self.is_pending {
             return;
         }
         let (shared, address) = (self.shared.clone(), self.address.clone());
         let cancel =
             CancelRequest { id: self.request.id.clone(), shard: self.request.shard.clone() };
         if let Ok(runtime) = tokio::runtime::Handle::try_current() {
-            runtime.spawn(async move { shared.peers.cancel(&address, &cancel).await });
+            runtime.spawn(async move { shared.peer_client.cancel(&address, &cancel).await });
         }
     }
 }
--- a/crates/sassafrasproxy-node/src/upstreams.rs
+++ b/crates/sassafrasproxy-node/src/replica_client.rs
@@ -19,7 +19,7 @@
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(250);
 
 /// What a request may take beyond its deadline, so that its slot is counted until it surely ended.
-const DEADLINE_SLACK: Duration = Duration::from_millis(250);
+const DEADLINE_MARGIN: Duration = Duration::from_millis(250);
 
 /// Microseconds in a second.
 const US_PER_S: u64 = 1_000_000;
@@ -29,11 +29,11 @@
 /// Requests have connections of their own, so that a cancellation or a status read never waits
 /// behind them; HTTP/1.1 carries one request at a time on each.
 #[derive(Debug, Clone)]
-pub struct Upstream {
-    base: EcoString,
-    connections: usize,
-    requests: Client,
-    control: Client,
+pub struct ReplicaClient {
+    base_url: EcoString,
+    max_idle_connections: usize,
+    query_client: Client,
+    control_client: Client,
 }
 
 /// One send to a replica.
@@ -49,21 +49,21 @@
     pub query: UpstreamQuery,
 }
 
-impl Upstream {
+impl ReplicaClient {
     /// A replica by address, with the most idle connections to keep.
-    pub fn new(address: &str, connections: usize) -> Self {
+    pub fn new(address: &str, max_idle_connections: usize) -> Self {
         Self {
-            base: ecow::eco_format!("http://{address}"),
-            connections,
-            requests: client(connections),
-            control: client(1),
+            base_url: ecow::eco_format!("http://{address}"),
+            max_idle_connections,
+            query_client: build_client(max_idle_connections),
+            control_client: build_client(1),
         }
     }
 
     /// Leaves all open connections alone and uses new ones from now on.
-    pub fn condemn(&mut self) {
-        self.requests = client(self.connections);
-        self.control = client(1);
+    pub fn retire_connections(&mut self) {
+        self.query_client = build_client(self.max_idle_connections);
+        self.control_client = build_client(1);
     }
 
     /// Sends a request and returns the report with the answer's body, if it was good.
@@ -79,10 +79,10 @@
         if deadline_ms == 0 {
             return (AttemptResult::NotSent.into(), None);
         }
-        let timeout = Duration::from_millis(deadline_ms) + DEADLINE_SLACK;
+        let timeout = Duration::from_millis(deadline_ms) + DEADLINE_MARGIN;
         let sent = self
-            .requests
-            .post(format!("{}/query", self.base))
+            .query_client
+            .post(format!("{}/query", self.base_url))
             .header(REQUEST_ID_HEADER, request.id.as_str())
             .header(DEADLINE_HEADER, deadline_ms)
             .header(SNAPSHOT_HEADER, request.snapshot)
@@ -92,30 +92,30 @@
             .await;
         match sent {
             Ok(response) => read_answer(request, response).await,
-            Err(error) => (failure(&error).into(), None),
+            Err(error) => (classify_error(&error).into(), None),
         }
     }
 
     /// Tells the replica to stop a request; returns whether it confirmed that.
     pub async fn cancel(&self, id: &str) -> bool {
-        let url = format!("{}/query/{id}", self.base);
-        let sent = self.control.delete(url).timeout(CONTROL_TIMEOUT).send().await;
+        let url = format!("{}/query/{id}", self.base_url);
+        let sent = self.control_client.delete(url).timeout(CONTROL_TIMEOUT).send().await;
         sent.is_ok_and(|response| response.status().is_success())
     }
 
     /// Reads the replica's status.
     pub async fn status(&self) -> StatusReport {
-        read_status(&self.control, &self.base).await
+        read_status(&self.control_client, &self.base_url).await
     }
 
     /// Reads the replica's status over a connection of its own.
     pub async fn probe(&self) -> StatusReport {
-        read_status(&client(0), &self.base).await
+        read_status(&build_client(0), &self.base_url).await
     }
 }
 
 /// A client that keeps a number of idle connections.
-fn client(idle: usize) -> Client {
+fn build_client(idle: usize) -> Client {
     Client::builder()
         .no_proxy()
         .http1_only()
@@ -140,7 +140,7 @@
 }
 
 /// Sorts a failed send out.
-fn failure(error: &reqwest::Error) -> AttemptResult {
+fn classify_error(error: &reqwest::Error) -> AttemptResult {
     if error.is_connect() {
         AttemptResult::ConnectFailed
     } else if error.is_timeout() {
@@ -165,7 +165,7 @@
     let is_ours = text(REQUEST_ID_HEADER) == Some(request.id.as_str());
     let snapshot = text(SNAPSHOT_HEADER).and_then(|value| value.parse::<SnapshotId>().ok());
     report.result = if response.status() != StatusCode::OK {
-        refusal(response.status(), headers)
+        classify_refusal(response.status(), headers)
     } else if !is_ours || snapshot != Some(request.snapshot) {
         AttemptResult::Mismatched
     } else {
@@ -177,7 +177,7 @@
     let body = match response.bytes().await {
         Ok(bytes) => serde_json::from_slice::<Box<serde_json::value::RawValue>>(&bytes).ok(),
         Err(error) => {
-            report.result = failure(&error);
+            report.result = classify_error(&error);
             return (report, None);
         }
     };
@@ -188,7 +188,7 @@
 }
 
 /// Sorts a refusal out; without the upstream's word that it did not run, it may have.
-fn refusal(status: StatusCode, headers: &HeaderMap) -> AttemptResult {
+fn classify_refusal(status: StatusCode, headers: &HeaderMap) -> AttemptResult {
     let is_not_run = headers.get(NOT_RUN_HEADER).is_some_and(|value| value == "true");
     match status {
         StatusCode::CONFLICT if is_not_run => AttemptResult::NotHeld,
--- a/crates/sassafrasproxy-node/src/answers.rs
+++ b/crates/sassafrasproxy-node/src/responses.rs
@@ -3,7 +3,7 @@
 use ecow::{EcoString, eco_format};
 use poem::Response;
 use poem::http::StatusCode;
-use sassafrasproxy_wire::{Coverage, Outcome, QueryAnswer, Reason, Refusal, ShardResult};
+use sassafrasproxy_wire::{Coverage, FailureReason, Outcome, QueryAnswer, Refusal, ShardResult};
 
 use crate::query::QueryResult;
 
@@ -11,7 +11,7 @@
 const RETRY_AFTER_MS: u64 = 500;
 
 /// The text of the answer to a query that was answered.
-pub fn answer_text(
+pub fn answer_json(
     request_id: &EcoString,
     index: &EcoString,
     result: &QueryResult,
@@ -32,33 +32,33 @@
 }
 
 /// The response to a query that ran.
-pub fn respond(request_id: EcoString, index: &EcoString, result: QueryResult) -> Response {
-    if let Some(text) = answer_text(&request_id, index, &result) {
-        return answered(&text);
+pub fn query_response(request_id: EcoString, index: &EcoString, result: QueryResult) -> Response {
+    if let Some(text) = answer_json(&request_id, index, &result) {
+        return answer_response(&text);
     }
     let end = result.end;
     let reason = match (end.outcome, end.reason) {
-        (Outcome::Partial, _) => Reason::BelowMinCoverage,
+        (Outcome::Partial, _) => FailureReason::BelowMinCoverage,
         (_, Some(reason)) => reason,
-        (_, None) => Reason::NoReplica,
+        (_, None) => FailureReason::NoReplica,
     };
-    refuse(&Refusal {
+    refusal_response(&Refusal {
         request_id,
         outcome: end.outcome,
         reason,
-        detail: describe(&end.coverage),
+        detail: describe_missing_shards(&end.coverage),
         retry_after_ms: Some(end.retry_after_ms.unwrap_or(RETRY_AFTER_MS)),
         coverage: Some(end.coverage),
     })
 }
 
 /// The response with an answer's text.
-pub fn answered(text: &EcoString) -> Response {
+pub fn answer_response(text: &EcoString) -> Response {
     json_response(StatusCode::OK, text.as_bytes().to_vec())
 }
 
 /// What is missing, for people.
-fn describe(coverage: &Coverage) -> EcoString {
+fn describe_missing_shards(coverage: &Coverage) -> EcoString {
     let all = coverage.covered.len() + coverage.missing.len();
     let first = coverage.missing.first();
     let example = first.map(|one| eco_format!(", first {} ({})", one.shard, one.reason));
@@ -70,13 +70,13 @@
 }
 
 /// A refusal by this node itself, before anything was sent.
-pub fn refusal(request_id: EcoString, reason: Reason, detail: EcoString) -> Refusal {
+pub fn not_run_refusal(request_id: EcoString, reason: FailureReason, detail: EcoString) -> Refusal {
     let may_pass = matches!(
         reason,
-        Reason::NoConfiguration
-            | Reason::ClaimUnavailable
-            | Reason::KeyUsed
-            | Reason::DuplicateRequestId
+        FailureReason::NoConfiguration
+            | FailureReason::ClaimUnavailable
+            | FailureReason::KeyUsed
+            | FailureReason::DuplicateRequestId
     );
     Refusal {
         request_id,
@@ -89,19 +89,19 @@
 }
 
 /// The response to a request that is not answered.
-pub fn refuse(refusal: &Refusal) -> Response {
+pub fn refusal_response(refusal: &Refusal) -> Response {
     let status = match (refusal.outcome, refusal.reason) {
         (Outcome::Unknown | Outcome::Partial, _) => StatusCode::GATEWAY_TIMEOUT,
-        (_, Reason::UnknownService) => StatusCode::NOT_FOUND,
-        (_, Reason::BodyTooLarge) => StatusCode::PAYLOAD_TOO_LARGE,
-        (_, Reason::KeyReused | Reason::DuplicateRequestId) => StatusCode::CONFLICT,
-        (_, Reason::Overloaded | Reason::Shed) => StatusCode::TOO_MANY_REQUESTS,
+        (_, FailureReason::UnknownService) => StatusCode::NOT_FOUND,
+        (_, FailureReason::BodyTooLarge) => StatusCode::PAYLOAD_TOO_LARGE,
+        (_, FailureReason::KeyReused | FailureReason::DuplicateRequestId) => StatusCode::CONFLICT,
+        (_, FailureReason::Overloaded | FailureReason::Shed) => StatusCode::TOO_MANY_REQUESTS,
         (
             _,
-            Reason::BadRequest
-            | Reason::UnknownKind
-            | Reason::SeveralIndexes
-            | Reason::MissingRequestId,
+            FailureReason::BadRequest
+            | FailureReason::UnknownKind
+            | FailureReason::SeveralIndexes
+            | FailureReason::MissingRequestId,
         ) => StatusCode::BAD_REQUEST,
         _ => StatusCode::SERVICE_UNAVAILABLE,
     };
--- a/crates/sassafrasproxy-soak/src/main.rs
+++ b/crates/sassafrasproxy-soak/src/main.rs
@@ -4,7 +4,7 @@
 use std::process::ExitCode;
 
 use clap::{Arg, Command, value_parser};
-use sassafrasproxy_soak::{SoakSettings, soak};
+use sassafrasproxy_soak::{SoakSettings, run_soak};
 
 #[tokio::main]
 async fn main() -> ExitCode {
@@ -31,11 +31,14 @@
     let mut is_broken = false;
     for seed in value("seed")..value("seed") + value("seeds") {
         let nodes = value("nodes") as usize;
-        let settings = SoakSettings { seed, seconds: value("seconds"), nodes };
-        match soak(binary, settings).await {
+        let settings = SoakSettings { seed, duration_s: value("seconds"), gateway_count: nodes };
+        match run_soak(binary, settings).await {
             Ok(report) => {
-                println!("seed {seed}: {:?}, broken: {:#?}", report.answers, report.broken);
-                is_broken |= !report.broken.is_empty();
+                println!(
+                    "seed {seed}: {:?}, broken: {:#?}",
+                    report.status_counts, report.violations
+                );
+                is_broken |= !report.violations.is_empty();
             }
             Err(error) => {
                 println!("seed {seed}: {error:#}");
--- a/crates/sassafrasproxy-soak/src/plan.rs
+++ b/crates/sassafrasproxy-soak/src/schedule.rs
@@ -13,17 +13,17 @@
 
 /// All faults in order.
 #[derive(Debug, Clone)]
-pub struct Plan {
+pub struct FaultSchedule {
     seed: u64,
     /// Each with the time from the start.
-    pub steps: Vec<Step>,
+    pub faults: Vec<ScheduledFault>,
 }
 
 /// One fault at a time.
 #[derive(Debug, Clone)]
-pub struct Step {
+pub struct ScheduledFault {
     /// From the start.
-    pub at: Duration,
+    pub offset: Duration,
     /// The fault.
     pub fault: Fault,
 }
@@ -81,20 +81,20 @@
     StoreSound,
 }
 
-impl Plan {
+impl FaultSchedule {
     /// Draws the plan of a seed.
-    pub fn draw(settings: SoakSettings) -> Self {
+    pub fn generate(settings: SoakSettings) -> Self {
         let mut rng = StdRng::seed_from_u64(settings.seed);
-        let end_ms = settings.seconds * 1_000;
+        let end_ms = settings.duration_s * 1_000;
         let mut steps = Vec::new();
         let mut at_ms = 0;
         loop {
             at_ms += rng.random_range(1..=(2_000.0 / FAULTS_PER_S) as u64);
             if at_ms >= end_ms {
-                return Self { seed: settings.seed, steps };
+                return Self { seed: settings.seed, faults: steps };
             }
-            let node = rng.random_range(0..settings.nodes);
-            let replica = rng.random_range(0..crate::fleet::REPLICAS);
+            let node = rng.random_range(0..settings.gateway_count);
+            let replica = rng.random_range(0..crate::cluster::REPLICA_COUNT);
             let fault = match rng.random_range(0..45) {
                 0 => Fault::Kill(node),
                 1 => Fault::Pause(node),
@@ -132,16 +132,16 @@
                 42 => Fault::RelayWaySilenced(node),
                 _ => Fault::RelayWaySound(node),
             };
-            steps.push(Step { at: Duration::from_millis(at_ms), fault });
+            steps.push(ScheduledFault { offset: Duration::from_millis(at_ms), fault });
         }
     }
 }
 
-impl Display for Plan {
+impl Display for FaultSchedule {
     fn fmt(&self, f: &mut Formatter<'_>) -> fmt::Result {
         write!(f, "seed {}:", self.seed)?;
-        for step in &self.steps {
-            write!(f, " {}ms {:?}", step.at.as_millis(), step.fault)?;
+        for step in &self.faults {
+            write!(f, " {}ms {:?}", step.offset.as_millis(), step.fault)?;
         }
         Ok(())
     }
--- a/crates/sassafrasproxy-standin/examples/demo.rs
+++ b/crates/sassafrasproxy-standin/examples/demo.rs
@@ -4,23 +4,23 @@
 
 use eyre::Result;
 use sassafrasproxy_node::Tuning;
-use sassafrasproxy_standin::{Fleet, FleetSetup, ServiceSetup};
+use sassafrasproxy_standin::{Cluster, ClusterSetup, ServiceSetup};
 use sassafrasproxy_wire::QueryAnswer;
 use serde_json::json;
 
 #[tokio::main]
 async fn main() -> Result<()> {
     let is_once = std::env::args().any(|arg| arg == "--once");
-    let art = ServiceSetup { shards: 2, ..ServiceSetup::small("art-archive", "catalogue") };
+    let art = ServiceSetup { shard_count: 2, ..ServiceSetup::small("art-archive", "catalogue") };
     let desk = ServiceSetup::small("counter-desk", "catalogue");
-    let setup = FleetSetup {
-        nodes: 3,
+    let setup = ClusterSetup {
+        node_count: 3,
         failure_domains: vec!["galway-1".into(), "galway-2".into(), "galway-3".into()],
         services: vec![art, desk],
         tuning: Tuning::default(),
         seed: 1,
     };
-    let fleet = Fleet::start(&setup).await?;
+    let fleet = Cluster::start(&setup).await?;
     println!("platform  {}", fleet.platform.url());
     for (service, replicas) in &fleet.upstreams {
         for replica in replicas {
--- a/crates/sassafrasproxy-standin/examples/load.rs
+++ b/crates/sassafrasproxy-standin/examples/load.rs
@@ -9,19 +9,19 @@
 use sassafrasproxy_core::ControlPolicy;
 use sassafrasproxy_node::Tuning;
 use sassafrasproxy_standin::{
-    Fleet, FleetSetup, LoadPlan, LoadReport, ServiceSetup, Straggle, run_load,
+    Cluster, ClusterSetup, LoadPlan, LoadReport, ServiceSetup, Stragglers, run_load,
 };
 
 /// How long a fleet is loaded before it is measured, so that limits have grown.
-const WARM_UP: Duration = Duration::from_secs(6);
+const WARM_UP_TIME: Duration = Duration::from_secs(6);
 
 /// The nodes of today.
-const NODES: usize = 8;
+const NODE_COUNT: usize = 8;
 
 /// One configuration to measure.
 struct Case {
     label: &'static str,
-    setup: FleetSetup,
+    setup: ClusterSetup,
     plan: LoadPlan,
 }
 
@@ -30,18 +30,18 @@
     let matches = Command::new("load")
         .about("Measures two configurations in one run")
         .arg(Arg::new("scenario").required(true).help("hedging, overload or floor"))
-        .arg(number("rate", "Queries a second"))
-        .arg(number("seconds", "How long each configuration is measured").default_value("10"))
-        .arg(number("seed", "The seed of arrivals and service times").default_value("1"))
+        .arg(number_arg("rate", "Queries a second"))
+        .arg(number_arg("seconds", "How long each configuration is measured").default_value("10"))
+        .arg(number_arg("seed", "The seed of arrivals and service times").default_value("1"))
         .get_matches();
     let seconds = matches.get_one::<u64>("seconds").copied().unwrap_or(10);
     let seed = matches.get_one::<u64>("seed").copied().unwrap_or(1);
     let rate = matches.get_one::<u64>("rate").map(|rate| *rate as f64);
     let scenario = matches.get_one::<String>("scenario").map_or("", String::as_str);
     let mut cases = match scenario {
-        "hedging" => hedging(rate.unwrap_or(60.0), seed),
-        "overload" => overload(rate.unwrap_or(0.0), seed),
-        "floor" => floor(rate.unwrap_or(60.0), seed),
+        "hedging" => hedging_cases(rate.unwrap_or(60.0), seed),
+        "overload" => overload_cases(rate.unwrap_or(0.0), seed),
+        "floor" => lower_bound_cases(rate.unwrap_or(60.0), seed),
         _ => bail!("no such scenario; see --help"),
     };
     println!("seed {seed}");
@@ -55,22 +55,22 @@
 
 /// Warms a fleet up and measures it.
 async fn measure(case: &Case) -> Result<LoadReport> {
-    let fleet = Fleet::start(&case.setup).await?;
+    let fleet = Cluster::start(&case.setup).await?;
     let warm_up = LoadPlan {
         rate_per_s: case.plan.rate_per_s.min(100.0),
-        duration: WARM_UP,
+        duration: WARM_UP_TIME,
         ..case.plan.clone()
     };
     run_load(&fleet, &warm_up).await;
-    fleet.upstreams.values().flatten().for_each(|upstream| drop(upstream.take_service_ms()));
+    fleet.upstreams.values().flatten().for_each(|upstream| drop(upstream.take_service_times_ms()));
     let report = run_load(&fleet, &case.plan).await;
-    print_floor(&fleet, &case.plan);
+    print_lower_bound(&fleet, &case.plan);
     print_events(&fleet).await?;
     Ok(report)
 }
 
 /// Prints how often each kind of event, queries aside, stands on the time line of all nodes.
-async fn print_events(fleet: &Fleet) -> Result<()> {
+async fn print_events(fleet: &Cluster) -> Result<()> {
     let mut counts: IndexMap<EcoString, u64> = IndexMap::new();
     for node in &fleet.nodes {
         let url = format!("http://{}/v1/timeline", node.address());
@@ -86,12 +86,12 @@
 }
 
 /// Prints what the slowest of as many ideal sub-requests as a query has would take.
-fn print_floor(fleet: &Fleet, plan: &LoadPlan) {
+fn print_lower_bound(fleet: &Cluster, plan: &LoadPlan) {
     let mut times: Vec<f32> = fleet
         .upstreams
         .values()
         .flatten()
-        .flat_map(sassafrasproxy_standin::UpstreamStandIn::take_service_ms)
+        .flat_map(sassafrasproxy_standin::UpstreamStandIn::take_service_times_ms)
         .collect();
     if times.is_empty() {
         return;
@@ -107,40 +107,40 @@
 }
 
 /// Fifty shards a query, one sub-request in a hundred twenty times slower.
-fn hedging(rate_per_s: f64, seed: u64) -> Vec<Case> {
-    let straggle = Some(Straggle { probability: 0.01, factor: 20.0 });
+fn hedging_cases(rate_per_s: f64, seed: u64) -> Vec<Case> {
+    let straggle = Some(Stragglers { probability: 0.01, factor: 20.0 });
     let services = small_services(50, straggle, 500);
     [("without hedges", 0.0), ("with hedges", 0.05)]
         .map(|(label, extra_fraction)| {
-            let tuning = Tuning { extra_fraction, ..Tuning::default() };
-            case(label, services.clone(), tuning, rate_per_s, 50, seed)
+            let tuning = Tuning { budget_fraction: extra_fraction, ..Tuning::default() };
+            new_case(label, services.clone(), tuning, rate_per_s, 50, seed)
         })
         .into()
 }
 
 /// Twice what the upstreams bear, through homes and from every node directly.
-fn overload(rate_per_s: f64, seed: u64) -> Vec<Case> {
-    let slow = |service| ServiceSetup { service_ms: 20.0, ..service };
+fn overload_cases(rate_per_s: f64, seed: u64) -> Vec<Case> {
+    let slow = |service| ServiceSetup { mean_service_ms: 20.0, ..service };
     let services: Vec<ServiceSetup> = small_services(2, None, 300).into_iter().map(slow).collect();
     // Each query asks one service; a slot is taken from the send until the answer is back.
     let bears = services.iter().map(|service| {
-        let slots = service.replicas as f64 * f64::from(service.slots);
-        slots * 1_000.0 / (service.service_ms + service.round_trip_ms)
+        let slots = service.replica_count as f64 * f64::from(service.slots);
+        slots * 1_000.0 / (service.mean_service_ms + service.round_trip_ms)
     });
     let rate_per_s = if rate_per_s > 0.0 { rate_per_s } else { 2.0 * bears.sum::<f64>() };
     let direct = ControlPolicy { bypasses_homes: true, ..ControlPolicy::default() };
     [("homes", Tuning::default()), ("direct", Tuning { control: direct, ..Tuning::default() })]
-        .map(|(label, tuning)| case(label, services.clone(), tuning, rate_per_s, 1, seed))
+        .map(|(label, tuning)| new_case(label, services.clone(), tuning, rate_per_s, 1, seed))
         .into()
 }
 
 /// Fifty shards a query without stragglers, beside the floor of their service times.
-fn floor(rate_per_s: f64, seed: u64) -> Vec<Case> {
+fn lower_bound_cases(rate_per_s: f64, seed: u64) -> Vec<Case> {
     let services = small_services(50, None, 500);
-    vec![case("homes", services, Tuning::default(), rate_per_s, 50, seed)]
+    vec![new_case("homes", services, Tuning::default(), rate_per_s, 50, seed)]
 }
 
-fn case(
+fn new_case(
     label: &'static str,
     services: Vec<ServiceSetup>,
     tuning: Tuning,
@@ -158,8 +158,8 @@
         seed,
     };
     let domains = ["galway-1", "galway-2", "galway-3", "galway-4"];
-    let setup = FleetSetup {
-        nodes: NODES,
+    let setup = ClusterSetup {
+        node_count: NODE_COUNT,
         failure_domains: domains.map(Into::into).to_vec(),
         services,
         tuning,
@@ -168,15 +168,19 @@
     Case { label, setup, plan }
 }
 
-fn small_services(count: usize, straggle: Option<Straggle>, deadline_ms: u64) -> Vec<ServiceSetup> {
+fn small_services(
+    count: usize,
+    straggle: Option<Stragglers>,
+    deadline_ms: u64,
+) -> Vec<ServiceSetup> {
     let service = |number| ServiceSetup {
-        straggle,
+        stragglers: straggle,
         deadline_ms,
         ..ServiceSetup::small(eco_format!("archive-{number}"), "catalogue")
     };
     (0..count).map(service).collect()
 }
 
-fn number(name: &'static str, help: &'static str) -> Arg {
+fn number_arg(name: &'static str, help: &'static str) -> Arg {
     Arg::new(name).long(name).help(help).value_parser(value_parser!(u64))
 }
--- a/crates/sassafrasproxy-standin/examples/slopes.rs
+++ b/crates/sassafrasproxy-standin/examples/slopes.rs
@@ -9,7 +9,7 @@
 use ecow::{EcoString, eco_format};
 use eyre::Result;
 use indexmap::{IndexMap, IndexSet};
-use sassafrasproxy_config::{assemble, chunk_services};
+use sassafrasproxy_config::{assemble_configuration, chunk_services};
 use sassafrasproxy_core::{
     AttemptId, AttemptResult, ControlEffect, ControlEvent, ControlPlane, ControlPolicy, Query,
     QueryEffect, QueryEvent, QuerySpec, ReplicaSpec, Scheduler, SchedulerConfiguration,
@@ -17,70 +17,71 @@
     View,
 };
 use sassafrasproxy_wire::{
-    Body, Configuration, ConfigurationHead, GroupHoldings, HeldSnapshot, Hlc, KindSpec, Limits,
-    MemberState, MemberUpdate, NodeHoldings, QuarantineNotice, ServiceSpec, SnapshotHolding,
-    SubOutcome, SubReply, SubRequest, UpstreamSpec, UpstreamState, UpstreamStatus,
+    Body, Configuration, ConfigurationHead, GroupHoldings, HeldSnapshot, Hlc, MemberState,
+    MemberUpdate, NodeHoldings, QuarantineNotice, ReplicaLimits, RequestKindSpec, ServiceSpec,
+    SnapshotHolding, SubRequest, SubRequestOutcome, SubRequestReply, UpstreamSpec, UpstreamState,
+    UpstreamStatus,
 };
 
 /// The sizes that lines are fitted over.
-const MEMBERS: [usize; 4] = [8, 64, 250, 1_000];
+const MEMBER_COUNTS: [usize; 4] = [8, 64, 250, 1_000];
 
 /// Replicas for each member at the planned size; groups have two replicas each.
 const REPLICAS_PER_MEMBER: f64 = 7.7;
 
 /// The failure domains at the planned size.
-const DOMAINS: usize = 18;
+const FAILURE_DOMAIN_COUNT: usize = 18;
 
 /// One measured quantity over a growing size.
-struct Slope {
+struct ScalingSeries {
     name: &'static str,
     unit: &'static str,
-    per: &'static str,
+    size_unit: &'static str,
     points: Vec<(f64, f64)>,
 }
 
 fn main() -> Result<()> {
-    let mut slopes = control_slopes()?;
-    slopes.extend(configuration_slopes()?);
-    slopes.push(query_slope());
+    let mut slopes = control_series()?;
+    slopes.extend(configuration_series()?);
+    slopes.push(query_series());
     for slope in &slopes {
         slope.print();
     }
     println!("\nper message or event:");
-    lane_cost();
-    message_cost()?;
+    print_scheduler_cost();
+    print_message_costs()?;
     Ok(())
 }
 
 /// Control state, time and bytes over the number of members.
-fn control_slopes() -> Result<Vec<Slope>> {
-    let mut heartbeat_us = Slope::new("taking a heartbeat in", "us", "member");
-    let mut heartbeat_bytes = Slope::new("a heartbeat in calm", "bytes", "member");
-    let mut newcomer_bytes = Slope::new("a heartbeat to a newcomer", "bytes", "member");
-    let mut homes_us = Slope::new("taking a death in (homes anew)", "us", "member");
-    let mut memory_kb = Slope::new("control state", "KB", "member");
-    for members in MEMBERS {
+fn control_series() -> Result<Vec<ScalingSeries>> {
+    let mut heartbeat_us = ScalingSeries::new("taking a heartbeat in", "us", "member");
+    let mut heartbeat_bytes = ScalingSeries::new("a heartbeat in calm", "bytes", "member");
+    let mut newcomer_bytes = ScalingSeries::new("a heartbeat to a newcomer", "bytes", "member");
+    let mut homes_us = ScalingSeries::new("taking a death in (homes anew)", "us", "member");
+    let mut memory_kb = ScalingSeries::new("control state", "KB", "member");
+    for members in MEMBER_COUNTS {
         let before_kb = resident_kb()?;
-        let mut control = settled_control(members);
+        let mut control = converged_control(members);
         memory_kb.points.push((members as f64, resident_kb()?.saturating_sub(before_kb) as f64));
-        let mut peer = settled_control(members);
+        let mut peer = converged_control(members);
         let heartbeat = peer.heartbeat(Hlc::default(), None);
-        let time_us = time_us(2_000, |round| {
+        let time_us = mean_time_us_after_warm_up(2_000, |round| {
             let event = ControlEvent::HeartbeatReceived(heartbeat.clone());
             black_box(control.step(round as u64, event));
             black_box(control.heartbeat(Hlc::default(), Some(&heartbeat)));
         });
         heartbeat_us.points.push((members as f64, time_us));
         heartbeat_bytes.points.push((members as f64, json_bytes(&heartbeat)? as f64));
-        let stranger = ControlPlane::new(&update(members + 1), [], policy(), 1, 0)
+        let stranger = ControlPlane::new(&member_update(members + 1), [], policy(), 1, 0)
             .heartbeat(Hlc::default(), None);
         let answer = control.heartbeat(Hlc::default(), Some(&stranger));
         newcomer_bytes.points.push((members as f64, json_bytes(&answer)? as f64));
         let rounds = 20.min(members - 2);
-        let time_us = time_us_of(rounds, |round| {
+        let time_us = mean_time_us(rounds, |round| {
             let mut dead = heartbeat.clone();
             let state = MemberState::Dead;
-            dead.updates = vec![MemberUpdate { state, ..update(round + 2) }];
+            dead.updates = vec![MemberUpdate { state, ..member_update(round + 2) }];
             black_box(control.step(10_000, ControlEvent::HeartbeatReceived(dead)));
         });
         homes_us.points.push((members as f64, time_us));
@@ -89,10 +90,10 @@
 }
 
 /// A control reducer that knows all members, the configuration and every group's holdings.
-fn settled_control(members: usize) -> ControlPlane {
-    let mut control = ControlPlane::new(&update(0), [], policy(), 1, 0);
+fn converged_control(members: usize) -> ControlPlane {
+    let mut control = ControlPlane::new(&member_update(0), [], policy(), 1, 0);
     for number in 1..members {
-        let mut peer = ControlPlane::new(&update(number), [], policy(), 1, 0);
+        let mut peer = ControlPlane::new(&member_update(number), [], policy(), 1, 0);
         let heartbeat = peer.heartbeat(Hlc::default(), None);
         control.step(1, ControlEvent::HeartbeatReceived(heartbeat));
     }
@@ -106,7 +107,7 @@
     let view = control.view();
     let mut by_home: IndexMap<EcoString, Vec<GroupHoldings>> = IndexMap::new();
     for (group, ranked) in view.homes.iter() {
-        by_home.entry(ranked[0].clone()).or_default().push(holdings(group, &ranked[0]));
+        by_home.entry(ranked[0].clone()).or_default().push(group_holdings(group, &ranked[0]));
     }
     for (node, groups) in by_home {
         let heard = NodeHoldings { node, version: 1, is_whole: true, groups };
@@ -116,12 +117,12 @@
 }
 
 /// Configuration bytes and time over the number of replica groups.
-fn configuration_slopes() -> Result<Vec<Slope>> {
-    let mut bytes = Slope::new("the configuration's chunks", "bytes", "replica");
-    let mut assemble_us = Slope::new("assembling and checking it", "us", "replica");
+fn configuration_series() -> Result<Vec<ScalingSeries>> {
+    let mut bytes = ScalingSeries::new("the configuration's chunks", "bytes", "replica");
+    let mut assemble_us = ScalingSeries::new("assembling and checking it", "us", "replica");
     let mut changed_bytes =
-        Slope::new("chunks that one changed service rewrites", "bytes", "replica");
-    for members in MEMBERS {
+        ScalingSeries::new("chunks that one changed service rewrites", "bytes", "replica");
+    for members in MEMBER_COUNTS {
         let groups = (members as f64 * REPLICAS_PER_MEMBER / 2.0) as usize;
         let replicas = 2.0 * groups as f64;
         let configuration = configuration(groups);
@@ -137,7 +138,9 @@
             chunks: chunks.iter().map(|chunk| chunk.name.clone()).collect(),
         };
         let texts = chunks.iter().map(|chunk| (chunk.name.clone(), chunk.text.clone())).collect();
-        let time = time_us(10, |_| drop(black_box(assemble(&head, &texts))));
+        let time = mean_time_us_after_warm_up(10, |_| {
+            drop(black_box(assemble_configuration(&head, &texts)));
+        });
         assemble_us.points.push((replicas, time));
         let mut changed = configuration.services.clone();
         if let Some(service) = changed.values_mut().next() {
@@ -153,22 +156,22 @@
 }
 
 /// The entry's own time for a query over the number of shards.
-fn query_slope() -> Slope {
-    let mut slope = Slope::new("an entry's reducer for a query", "us", "shard");
+fn query_series() -> ScalingSeries {
+    let mut slope = ScalingSeries::new("an entry's reducer for a query", "us", "shard");
     for shards in [8, 50, 400, 1_600] {
-        let view = view(shards);
+        let view = node_view(shards);
         let spec = QuerySpec {
             services: view.configuration.services.keys().cloned().collect(),
             is_idempotent: true,
             min_coverage: 1.0,
             soft_deadline_us: 90_000,
         };
-        let time = time_us(20, |_| {
+        let time = mean_time_us_after_warm_up(20, |_| {
             let mut query = Query::new(spec.clone());
             let mut effects: VecDeque<_> = query.step(0, QueryEvent::Start, &view).into();
             while let Some(effect) = effects.pop_front() {
                 if let QueryEffect::RequestShard { token, .. } = effect {
-                    let outcome = SubOutcome::Answered;
+                    let outcome = SubRequestOutcome::Answered;
                     let event = QueryEvent::Replied { token, outcome };
                     effects.extend(query.step(1, event, &view));
                 }
@@ -180,7 +183,7 @@
 }
 
 /// A home's own time for a sub-request.
-fn lane_cost() {
+fn print_scheduler_cost() {
     let spec = |number: usize| ReplicaSpec {
         address: eco_format!("10.2.0.{number}:7101"),
         failure_domain: eco_format!("domain-{number}"),
@@ -201,14 +204,14 @@
             state: UpstreamState::Serving,
             load: 0,
             slots: 2,
-            snapshots: vec![held()],
+            snapshots: vec![held_snapshot()],
         });
         let replica = spec(number).address;
         lane.step(0, SchedulerEvent::Status { replica, probe_id: None, report });
     }
     let mut now_us = 1_000;
     let mut open: VecDeque<AttemptId> = VecDeque::new();
-    let time = time_us(50_000, |round| {
+    let time = mean_time_us_after_warm_up(50_000, |round| {
         now_us += 1_000;
         let sub = SubRequestSpec {
             id: SubRequestId(round as u64),
@@ -237,7 +240,7 @@
 }
 
 /// Bytes and codec time of the messages between nodes.
-fn message_cost() -> Result<()> {
+fn print_message_costs() -> Result<()> {
     let body = |text: &str| -> Result<Body> {
         Ok(Body::from(serde_json::value::RawValue::from_string(text.into())?))
     };
@@ -252,22 +255,28 @@
         forwarded: false,
         body: body(&format!("{{\"text\":\"{}\"}}", "v".repeat(64)))?,
     };
-    let reply = SubReply {
-        outcome: SubOutcome::Answered,
+    let reply = SubRequestReply {
+        outcome: SubRequestOutcome::Answered,
         holdings: None,
         body: Some(body(&format!("{{\"hits\":\"{}\"}}", "h".repeat(200)))?),
     };
-    codec("a sub-request, 64 byte body", &request)?;
-    codec("its reply, 200 byte body", &reply)?;
-    codec("one group's holdings", &holdings("service-0/s0", "vm-1"))?;
-    codec("a notice of a quarantine", &QuarantineNotice { fingerprint: u64::MAX, ttl_ms: 60_000 })?;
+    print_codec_cost("a sub-request, 64 byte body", &request)?;
+    print_codec_cost("its reply, 200 byte body", &reply)?;
+    print_codec_cost("one group's holdings", &group_holdings("service-0/s0", "vm-1"))?;
+    print_codec_cost(
+        "a notice of a quarantine",
+        &QuarantineNotice { fingerprint: u64::MAX, ttl_ms: 60_000 },
+    )?;
     Ok(())
 }
 
 /// Prints the bytes of a message and the time to write and read it.
-fn codec<T: serde::Serialize + serde::de::DeserializeOwned>(name: &str, value: &T) -> Result<()> {
+fn print_codec_cost<T: serde::Serialize + serde::de::DeserializeOwned>(
+    name: &str,
+    value: &T,
+) -> Result<()> {
     let bytes = json_bytes(value)?;
-    let time = time_us(20_000, |_| {
+    let time = mean_time_us_after_warm_up(20_000, |_| {
         let text = serde_json::to_string(black_box(value)).unwrap_or_default();
         drop(black_box(serde_json::from_str::<T>(&text)));
     });
@@ -275,9 +284,9 @@
     Ok(())
 }
 
-impl Slope {
-    fn new(name: &'static str, unit: &'static str, per: &'static str) -> Self {
-        Self { name, unit, per, points: Vec::new() }
+impl ScalingSeries {
+    fn new(name: &'static str, unit: &'static str, size_unit: &'static str) -> Self {
+        Self { name, unit, size_unit, points: Vec::new() }
     }
 
     /// Prints the points and the least-squares line with the slope's standard error.
@@ -293,16 +302,16 @@
         let error = (rest / (count - 2.0) / spread).sqrt();
         println!("{} ({})", self.name, self.unit);
         for (x, y) in &self.points {
-            println!("  {x:>6.0} {:<8} {y:>12.1}", self.per);
+            println!("  {x:>6.0} {:<8} {y:>12.1}", self.size_unit);
         }
-        println!("  fit: {base:.1} + {slope:.4} +- {error:.4} for each {}", self.per);
+        println!("  fit: {base:.1} + {slope:.4} +- {error:.4} for each {}", self.size_unit);
     }
 }
 
 fn configuration(groups: usize) -> Configuration {
     let upstream = |number: usize, replica: usize| UpstreamSpec {
         address: eco_format!("10.2.{}.{}:{}", number / 250, number % 250, 7_100 + replica),
-        failure_domain: eco_format!("domain-{}", (number + replica) % DOMAINS),
+        failure_domain: eco_format!("domain-{}", (number + replica) % FAILURE_DOMAIN_COUNT),
         shards: vec!["s0".into()],
     };
     let service = |number: usize| {
@@ -310,12 +319,12 @@
             service: eco_format!("service-{number}"),
             index: "catalogue".into(),
             failure_domains: (0..2)
-                .map(|replica| eco_format!("domain-{}", (number + replica) % DOMAINS))
+                .map(|replica| eco_format!("domain-{}", (number + replica) % FAILURE_DOMAIN_COUNT))
                 .collect(),
             upstreams: vec![upstream(number, 0), upstream(number, 1)],
-            limits: Limits { slots: 2, connections: 25, queue: 64 },
+            limits: ReplicaLimits { slots: 2, connections: 25, queue: 64 },
             deadline_ms: 90,
-            kinds: [("search".into(), KindSpec { idempotent: true, hedge: true })].into(),
+            kinds: [("search".into(), RequestKindSpec { idempotent: true, hedge: true })].into(),
         };
         (spec.service.clone(), spec)
     };
@@ -324,18 +333,18 @@
 }
 
 /// The view of a node that knows a number of groups of one shard each.
-fn view(groups: usize) -> View {
-    let mut control = ControlPlane::new(&update(0), [], policy(), 1, 0);
+fn node_view(groups: usize) -> View {
+    let mut control = ControlPlane::new(&member_update(0), [], policy(), 1, 0);
     control.step(1, ControlEvent::ConfigurationReceived(configuration(groups)));
     let groups: Vec<GroupHoldings> =
-        control.view().homes.keys().map(|group| holdings(group, "vm-0")).collect();
+        control.view().homes.keys().map(|group| group_holdings(group, "vm-0")).collect();
     let heard = NodeHoldings { node: "vm-0".into(), version: 1, is_whole: true, groups };
     let effects = control.step(2, ControlEvent::HoldingsReceived(heard));
     assert!(effects.contains(&ControlEffect::PublishView));
     control.view()
 }
 
-fn holdings(group: &str, home: &str) -> GroupHoldings {
+fn group_holdings(group: &str, home: &str) -> GroupHoldings {
     GroupHoldings {
         group: group.into(),
         home: home.into(),
@@ -348,16 +357,16 @@
     }
 }
 
-fn held() -> HeldSnapshot {
+fn held_snapshot() -> HeldSnapshot {
     HeldSnapshot { id: 7, shards: vec!["s0".into()], layout: vec!["s0".into()] }
 }
 
-fn update(number: usize) -> MemberUpdate {
+fn member_update(number: usize) -> MemberUpdate {
     MemberUpdate {
         node: eco_format!("vm-{number}"),
         peer_address: eco_format!("10.0.{}.{}:7002", number / 250, number % 250),
         address: eco_format!("10.0.{}.{}:7001", number / 250, number % 250),
-        failure_domain: eco_format!("domain-{}", number % DOMAINS),
+        failure_domain: eco_format!("domain-{}", number % FAILURE_DOMAIN_COUNT),
         relay_address: EcoString::new(),
         cpu_millis: 0,
         state: MemberState::Alive,
@@ -374,13 +383,13 @@
 }
 
 /// The mean time of a round in microseconds, after as many rounds to warm up as a tenth.
-fn time_us(rounds: usize, mut round: impl FnMut(usize)) -> f64 {
+fn mean_time_us_after_warm_up(rounds: usize, mut round: impl FnMut(usize)) -> f64 {
     (0..rounds / 10).for_each(&mut round);
-    time_us_of(rounds, round)
+    mean_time_us(rounds, round)
 }
 
 /// The mean time of a round in microseconds.
-fn time_us_of(rounds: usize, mut round: impl FnMut(usize)) -> f64 {
+fn mean_time_us(rounds: usize, mut round: impl FnMut(usize)) -> f64 {
     let start = Instant::now();
     (0..rounds).for_each(&mut round);
     start.elapsed().as_secs_f64() * 1e6 / rounds as f64
--- a/crates/sassafrasproxy-standin/src/fleet.rs
+++ b/crates/sassafrasproxy-standin/src/cluster.rs
@@ -7,23 +7,25 @@
 use ecow::{EcoString, eco_format};
 use eyre::{Result, WrapErr, bail};
 use indexmap::IndexMap;
-use sassafrasproxy_config::{Change, PublishEnd, Settings};
+use sassafrasproxy_config::{NodeSettings, PublishOutcome, PublishRequest};
 use sassafrasproxy_node::{Node, PlatformClient, Tuning, publish};
-use sassafrasproxy_wire::{HeldSnapshot, KindSpec, Limits, NodeStatus, ServiceSpec, UpstreamSpec};
+use sassafrasproxy_wire::{
+    HeldSnapshot, NodeStatus, ReplicaLimits, RequestKindSpec, ServiceSpec, UpstreamSpec,
+};
 
-use crate::{ColdStart, PlatformStandIn, Straggle, UpstreamSetup, UpstreamStandIn};
+use crate::{ColdStart, PlatformStandIn, Stragglers, UpstreamSetup, UpstreamStandIn};
 
 /// The first snapshot of every service.
-const FIRST_SNAPSHOT: u64 = 7;
+const FIRST_SNAPSHOT_ID: u64 = 7;
 
 /// The longest that a fleet may take to serve.
-const READY_LIMIT: Duration = Duration::from_secs(20);
+const READY_TIMEOUT: Duration = Duration::from_secs(20);
 
 /// What a fleet is made of.
 #[derive(Debug, Clone)]
-pub struct FleetSetup {
+pub struct ClusterSetup {
     /// How many nodes.
-    pub nodes: usize,
+    pub node_count: usize,
     /// The failure domains; nodes and replicas are spread over them in turn.
     pub failure_domains: Vec<EcoString>,
     /// The services.
@@ -42,29 +44,29 @@
     /// Its index.
     pub index: EcoString,
     /// How many replicas; each holds every shard.
-    pub replicas: usize,
+    pub replica_count: usize,
     /// How many shards.
-    pub shards: usize,
+    pub shard_count: usize,
     /// Slots of each replica.
     pub slots: u32,
     /// Connections of each replica.
-    pub connections: u32,
+    pub max_connections: u32,
     /// How long a new connection takes, in milliseconds.
     pub connect_ms: f64,
     /// The network's time there and back, in milliseconds.
     pub round_trip_ms: f64,
     /// The mean time that a request takes, in milliseconds.
-    pub service_ms: f64,
+    pub mean_service_ms: f64,
     /// What its replicas are like after a start.
-    pub cold: Option<ColdStart>,
+    pub cold_start: Option<ColdStart>,
     /// Requests that take far longer.
-    pub straggle: Option<Straggle>,
+    pub stragglers: Option<Stragglers>,
     /// The deadline of a request that names none, in milliseconds.
     pub deadline_ms: u64,
 }
 
 /// A system that runs in this process until it is dropped.
-pub struct Fleet {
+pub struct Cluster {
     /// The platform.
     pub platform: PlatformStandIn,
     /// The replicas of each service.
@@ -81,54 +83,58 @@
         Self {
             name: name.into(),
             index: index.into(),
-            replicas: 2,
-            shards: 1,
+            replica_count: 2,
+            shard_count: 1,
             slots: 2,
-            connections: 25,
+            max_connections: 25,
             connect_ms: 6.0,
             round_trip_ms: 3.0,
-            service_ms: 4.0,
-            cold: None,
-            straggle: None,
+            mean_service_ms: 4.0,
+            cold_start: None,
+            stragglers: None,
             deadline_ms: 90,
         }
     }
 
     /// Its file's content, for replicas at these addresses.
-    pub fn spec(&self, addresses: &[SocketAddr], domains: &[EcoString]) -> ServiceSpec {
+    pub fn service_spec(&self, addresses: &[SocketAddr], domains: &[EcoString]) -> ServiceSpec {
         let upstreams = addresses.iter().enumerate().map(|(index, address)| UpstreamSpec {
             address: eco_format!("{address}"),
             failure_domain: domains[index % domains.len()].clone(),
-            shards: shard_names(self.shards),
+            shards: shard_names(self.shard_count),
         });
         let kinds = [
-            ("search".into(), KindSpec { idempotent: true, hedge: true }),
-            ("reorder".into(), KindSpec { idempotent: false, hedge: false }),
+            ("search".into(), RequestKindSpec { idempotent: true, hedge: true }),
+            ("reorder".into(), RequestKindSpec { idempotent: false, hedge: false }),
         ];
         ServiceSpec {
             service: self.name.clone(),
             index: self.index.clone(),
             failure_domains: domains.to_vec(),
             upstreams: upstreams.collect(),
-            limits: Limits { slots: self.slots, connections: self.connections, queue: 64 },
+            limits: ReplicaLimits {
+                slots: self.slots,
+                connections: self.max_connections,
+                queue: 64,
+            },
             deadline_ms: self.deadline_ms,
             kinds: kinds.into_iter().collect(),
         }
     }
 
     /// What one of its replicas is like.
-    pub fn upstream(&self, seed: u64) -> UpstreamSetup {
-        let shards = shard_names(self.shards);
+    pub fn upstream_setup(&self, seed: u64) -> UpstreamSetup {
+        let shards = shard_names(self.shard_count);
         UpstreamSetup {
             slots: self.slots,
-            connections: self.connections,
+            max_connections: self.max_connections,
             connect_ms: self.connect_ms,
             round_trip_ms: self.round_trip_ms,
-            service_ms: self.service_ms,
-            cold: self.cold,
-            straggle: self.straggle,
+            mean_service_ms: self.mean_service_ms,
+            cold_start: self.cold_start,
+            stragglers: self.stragglers,
             snapshots: vec![HeldSnapshot {
-                id: FIRST_SNAPSHOT,
+                id: FIRST_SNAPSHOT_ID,
                 shards: shards.clone(),
                 layout: shards,
             }],
@@ -137,27 +143,28 @@
     }
 }
 
-impl Fleet {
+impl Cluster {
     /// Starts platform, upstreams and nodes, publishes, and waits until every group has a home.
-    pub async fn start(setup: &FleetSetup) -> Result<Self> {
-        let platform = PlatformStandIn::start(any_port())?;
+    pub async fn start(setup: &ClusterSetup) -> Result<Self> {
+        let platform = PlatformStandIn::start(any_loopback_port())?;
         let mut upstreams = IndexMap::new();
         let mut services = IndexMap::new();
         for (number, service) in setup.services.iter().enumerate() {
             let start = |replica: usize| {
                 let seed = setup.seed + (number * 100 + replica) as u64;
-                UpstreamStandIn::start(any_port(), service.upstream(seed))
+                UpstreamStandIn::start(any_loopback_port(), service.upstream_setup(seed))
             };
-            let replicas = (0..service.replicas).map(start).collect::<std::io::Result<Vec<_>>>()?;
+            let replicas =
+                (0..service.replica_count).map(start).collect::<std::io::Result<Vec<_>>>()?;
             let addresses: Vec<SocketAddr> =
                 replicas.iter().map(UpstreamStandIn::address).collect();
-            let spec = service.spec(&addresses, &setup.failure_domains);
+            let spec = service.service_spec(&addresses, &setup.failure_domains);
             services.insert(service.name.clone(), spec);
             upstreams.insert(service.name.clone(), replicas);
         }
         let mut fleet = Self { platform, upstreams, nodes: Vec::new(), services };
         fleet.publish().await?;
-        for number in 0..setup.nodes {
+        for number in 0..setup.node_count {
             fleet.add_node(number, setup)?;
         }
         fleet.wait_until_ready().await?;
@@ -167,15 +174,20 @@
     /// Publishes the services as they are in `services` now.
     pub async fn publish(&self) -> Result<u64> {
         let platform = PlatformClient::new(self.platform.url())?;
-        let change = Change::Services { services: self.services.clone(), expect: None };
+        let change = PublishRequest::ReplaceServices {
+            services: self.services.clone(),
+            expected_revision: None,
+        };
         match publish(&platform, change, "fleet".into(), |_| {}).await {
-            PublishEnd::Done { revision } | PublishEnd::Unchanged { revision } => Ok(revision),
+            PublishOutcome::Done { revision } | PublishOutcome::Unchanged { revision } => {
+                Ok(revision)
+            }
             end => bail!("publishing ended as {end:?}"),
         }
     }
 
     /// Starts one more node, which knows the first as its seed.
-    pub fn add_node(&mut self, number: usize, setup: &FleetSetup) -> Result<()> {
+    pub fn add_node(&mut self, number: usize, setup: &ClusterSetup) -> Result<()> {
         let domain = &setup.failure_domains[number % setup.failure_domains.len()];
         let seeds = match self.nodes.first() {
             Some(first) => format!("seeds: [\"{}\"]", first.peer_address()),
@@ -187,7 +199,7 @@
             self.platform.url(),
         );
         let file = Path::new("fleet.yaml").display().to_string();
-        let settings = Settings::parse(&file, &text)?;
+        let settings = NodeSettings::parse(&file, &text)?;
         self.nodes.push(Node::start(settings, setup.tuning)?);
         Ok(())
     }
@@ -207,7 +219,7 @@
                 }
             }
         };
-        tokio::time::timeout(READY_LIMIT, all_ready).await.wrap_err("the fleet is not ready")
+        tokio::time::timeout(READY_TIMEOUT, all_ready).await.wrap_err("the fleet is not ready")
     }
 
     async fn is_ready(&self, node: usize) -> Result<bool> {
@@ -218,7 +230,7 @@
     }
 }
 
-impl Drop for Fleet {
+impl Drop for Cluster {
     fn drop(&mut self) {
         for node in &self.nodes {
             node.stop();
@@ -232,6 +244,6 @@
 }
 
 /// Any free port of the loopback.
-fn any_port() -> SocketAddr {
+fn any_loopback_port() -> SocketAddr {
     SocketAddr::from(([127, 0, 0, 1], 0))
 }
--- a/crates/sassafrasproxy-standin/src/load.rs
+++ b/crates/sassafrasproxy-standin/src/load.rs
@@ -12,11 +12,11 @@
 use rand::{RngExt, SeedableRng};
 use rand_distr::{Distribution, Exp};
 use reqwest::{Client, StatusCode};
-use sassafrasproxy_wire::{Coverage, QueryAnswer, REQUEST_ID_HEADER, Reason, Refusal};
+use sassafrasproxy_wire::{Coverage, FailureReason, QueryAnswer, REQUEST_ID_HEADER, Refusal};
 use serde_json::json;
 use tokio::task::JoinSet;
 
-use crate::Fleet;
+use crate::Cluster;
 
 /// The longest latency told apart, in microseconds.
 const MAX_LATENCY_US: u64 = 120_000_000;
@@ -46,36 +46,36 @@
     /// Queries sent.
     pub sent: u64,
     /// Queries answered, by whether they cover everything.
-    pub full: u64,
+    pub complete: u64,
     /// Queries answered with some shards missing.
-    pub thin: u64,
+    pub partial: u64,
     /// Shards that were missing from answers, by reason.
-    pub missing: IndexMap<Reason, u64>,
+    pub missing_shards: IndexMap<FailureReason, u64>,
     /// Refusals by reason.
-    pub refused: IndexMap<EcoString, u64>,
+    pub refusals: IndexMap<EcoString, u64>,
     /// Queries that got no readable answer.
     pub failed: u64,
     /// From the time that the query was due to its whole answer, in microseconds.
     pub latency_us: Histogram<u64>,
     /// Shards asked for over all queries that were answered or refused for coverage.
-    pub shards_asked: u64,
+    pub requested_shards: u64,
     /// Requests that upstreams began to run.
     pub upstream_runs: u64,
     /// The most requests that any replica saw at once, by its slots.
-    pub most_in_flight: IndexMap<u32, u32>,
+    pub max_in_flight: IndexMap<u32, u32>,
 }
 
 /// How one query ended.
-enum Ended {
+enum QueryOutcome {
     Answered { coverage: Coverage },
     Refused { reason: EcoString, shards: usize },
     Failed,
 }
 
 /// Offers a load to all nodes in turn; a query's latency counts from when it was due.
-pub async fn run_load(fleet: &Fleet, plan: &LoadPlan) -> LoadReport {
-    let runs_before = count_runs(fleet);
-    take_most_running(fleet);
+pub async fn run_load(fleet: &Cluster, plan: &LoadPlan) -> LoadReport {
+    let runs_before = total_run_count(fleet);
+    take_max_running_by_slots(fleet);
     let addresses: Vec<SocketAddr> =
         fleet.nodes.iter().map(sassafrasproxy_node::Node::address).collect();
     let client = Client::builder().no_proxy().pool_max_idle_per_host(256).build();
@@ -107,113 +107,117 @@
         report.sent += 1;
         tokio::time::sleep_until(due.into()).await;
         queries.spawn(async move {
-            let ended = send(request).await;
+            let ended = send_query(request).await;
             (ended, due.elapsed())
         });
         while let Some(Ok((ended, took))) = queries.try_join_next() {
-            report.add(ended, took);
+            report.record_query(ended, took);
         }
     }
     while let Some(ended) = queries.join_next().await {
         if let Ok((ended, took)) = ended {
-            report.add(ended, took);
+            report.record_query(ended, took);
         }
     }
-    report.upstream_runs = count_runs(fleet) - runs_before;
-    report.most_in_flight = take_most_running(fleet);
+    report.upstream_runs = total_run_count(fleet) - runs_before;
+    report.max_in_flight = take_max_running_by_slots(fleet);
     report
 }
 
 /// Sends one query and reads its answer.
-async fn send(request: reqwest::RequestBuilder) -> Ended {
-    let Ok(response) = request.send().await else { return Ended::Failed };
+async fn send_query(request: reqwest::RequestBuilder) -> QueryOutcome {
+    let Ok(response) = request.send().await else { return QueryOutcome::Failed };
     if response.status() == StatusCode::OK {
-        let Ok(answer) = response.json::<QueryAnswer>().await else { return Ended::Failed };
-        return Ended::Answered { coverage: answer.coverage };
+        let Ok(answer) = response.json::<QueryAnswer>().await else { return QueryOutcome::Failed };
+        return QueryOutcome::Answered { coverage: answer.coverage };
     }
-    let Ok(refusal) = response.json::<Refusal>().await else { return Ended::Failed };
+    let Ok(refusal) = response.json::<Refusal>().await else { return QueryOutcome::Failed };
     let coverage = refusal.coverage.unwrap_or_default();
     let reason = ecow::eco_format!("{:?}/{}", refusal.outcome, refusal.reason).to_lowercase();
-    Ended::Refused { reason, shards: coverage.covered.len() + coverage.missing.len() }
+    QueryOutcome::Refused { reason, shards: coverage.covered.len() + coverage.missing.len() }
 }
 
 impl LoadReport {
     fn new() -> Self {
         Self {
             sent: 0,
-            full: 0,
-            thin: 0,
-            missing: IndexMap::new(),
-            refused: IndexMap::new(),
+            complete: 0,
+            partial: 0,
+            missing_shards: IndexMap::new(),
+            refusals: IndexMap::new(),
             failed: 0,
             latency_us: Histogram::new_with_bounds(1, MAX_LATENCY_US, 3)
                 .expect("the bounds are constants that are valid"),
-            shards_asked: 0,
+            requested_shards: 0,
             upstream_runs: 0,
-            most_in_flight: IndexMap::new(),
+            max_in_flight: IndexMap::new(),
         }
     }
 
     /// The latency at a quantile, in milliseconds.
-    pub fn latency_ms(&self, quantile: f64) -> f64 {
+    pub fn latency_quantile_ms(&self, quantile: f64) -> f64 {
         self.latency_us.value_at_quantile(quantile) as f64 / 1_000.0
     }
 
     /// The share of queries that were answered in full, 0 to 1.
-    pub fn full_share(&self) -> f64 {
-        self.full as f64 / self.sent.max(1) as f64
+    pub fn complete_share(&self) -> f64 {
+        self.complete as f64 / self.sent.max(1) as f64
     }
 
     /// Runs in upstreams for each shard asked.
     pub fn runs_per_shard(&self) -> f64 {
-        self.upstream_runs as f64 / self.shards_asked.max(1) as f64
+        self.upstream_runs as f64 / self.requested_shards.max(1) as f64
     }
 
-    fn add(&mut self, ended: Ended, took: Duration) {
+    fn record_query(&mut self, ended: QueryOutcome, took: Duration) {
         self.latency_us.saturating_record(took.as_micros() as u64);
         match ended {
-            Ended::Answered { coverage } => {
-                self.shards_asked += (coverage.covered.len() + coverage.missing.len()) as u64;
+            QueryOutcome::Answered { coverage } => {
+                self.requested_shards += (coverage.covered.len() + coverage.missing.len()) as u64;
                 if coverage.missing.is_empty() {
-                    self.full += 1;
+                    self.complete += 1;
                 } else {
-                    self.thin += 1;
+                    self.partial += 1;
                 }
                 for missing in coverage.missing {
-                    *self.missing.entry(missing.reason).or_default() += 1;
+                    *self.missing_shards.entry(missing.reason).or_default() += 1;
                 }
             }
-            Ended::Refused { reason, shards } => {
-                self.shards_asked += shards as u64;
-                *self.refused.entry(reason).or_default() += 1;
+            QueryOutcome::Refused { reason, shards } => {
+                self.requested_shards += shards as u64;
+                *self.refusals.entry(reason).or_default() += 1;
             }
-            Ended::Failed => self.failed += 1,
+            QueryOutcome::Failed => self.failed += 1,
         }
     }
 }
 
 impl Display for LoadReport {
     fn fmt(&self, f: &mut Formatter<'_>) -> fmt::Result {
-        write!(f, "{} sent, {} full, {} thin {:?}", self.sent, self.full, self.thin, self.missing)?;
-        write!(f, ", refused {:?}, {} failed", self.refused, self.failed)?;
-        write!(f, "; ms p50 {:.1}", self.latency_ms(0.5))?;
-        write!(f, ", p95 {:.1}", self.latency_ms(0.95))?;
-        write!(f, ", p99 {:.1}", self.latency_ms(0.99))?;
-        write!(f, ", max {:.1}", self.latency_ms(1.0))?;
+        write!(
+            f,
+            "{} sent, {} full, {} thin {:?}",
+            self.sent, self.complete, self.partial, self.missing_shards
+        )?;
+        write!(f, ", refused {:?}, {} failed", self.refusals, self.failed)?;
+        write!(f, "; ms p50 {:.1}", self.latency_quantile_ms(0.5))?;
+        write!(f, ", p95 {:.1}", self.latency_quantile_ms(0.95))?;
+        write!(f, ", p99 {:.1}", self.latency_quantile_ms(0.99))?;
+        write!(f, ", max {:.1}", self.latency_quantile_ms(1.0))?;
         write!(f, "; runs per shard asked {:.3}", self.runs_per_shard())?;
-        write!(f, "; most in flight by slots {:?}", self.most_in_flight)
+        write!(f, "; most in flight by slots {:?}", self.max_in_flight)
     }
 }
 
-fn count_runs(fleet: &Fleet) -> u64 {
+fn total_run_count(fleet: &Cluster) -> u64 {
     fleet.upstreams.values().flatten().map(super::upstream::UpstreamStandIn::run_count).sum()
 }
 
 /// The most that any replica saw at once, by its slots.
-fn take_most_running(fleet: &Fleet) -> IndexMap<u32, u32> {
+fn take_max_running_by_slots(fleet: &Cluster) -> IndexMap<u32, u32> {
     let mut most = IndexMap::new();
     for upstream in fleet.upstreams.values().flatten() {
-        let running = upstream.take_most_running();
+        let running = upstream.take_max_running();
         let entry = most.entry(upstream.slots()).or_insert(0);
         *entry = running.max(*entry);
     }
--- a/crates/sassafrasproxy-standin/src/platform.rs
+++ b/crates/sassafrasproxy-standin/src/platform.rs
@@ -15,7 +15,7 @@
     Body, Endpoint, EndpointExt, IntoResponse, Request, Response, Route, Server, get, handler, post,
 };
 use sassafrasproxy_wire::{
-    KvChanges, KvItem, KvItems, KvRevision, KvValue, LeaseId, LeaseRequest, MAX_VALUE_BYTES,
+    KvChanges, KvItem, KvItems, KvRevision, KvValue, LeaseId, LeaseRequest, MAX_KV_VALUE_BYTES,
     VmEntry,
 };
 use serde::{Deserialize, Serialize};
@@ -23,10 +23,10 @@
 use tokio::task::AbortHandle;
 
 /// How long a hanging call hangs.
-const HANG: Duration = Duration::from_secs(60);
+const HANG_TIME: Duration = Duration::from_secs(60);
 
 /// How many changes are kept for watches.
-const CHANGES_KEPT: usize = 100_000;
+const MAX_CHANGES: usize = 100_000;
 
 /// A platform that runs in this process until it is dropped.
 #[derive(Debug)]
@@ -66,7 +66,7 @@
 struct State {
     store: Mutex<Store>,
     /// The store's revision, to wake watches.
-    changed: watch::Sender<u64>,
+    revision_sender: watch::Sender<u64>,
 }
 
 #[derive(Debug, Default)]
@@ -78,13 +78,13 @@
     leases: IndexMap<EcoString, Lease>,
     vms: Vec<VmEntry>,
     faults: PlatformFaults,
-    calls: IndexMap<&'static str, u64>,
-    second: Option<(Instant, u32)>,
+    call_counts: IndexMap<&'static str, u64>,
+    rate_window: Option<(Instant, u32)>,
 }
 
 #[derive(Debug)]
 struct Lease {
-    ends: Instant,
+    expires_at: Instant,
     ttl: Duration,
     keys: Vec<EcoString>,
 }
@@ -95,7 +95,8 @@
         let listener = TcpListener::bind(address)?;
         listener.set_nonblocking(true)?;
         let address = listener.local_addr()?;
-        let state = Arc::new(State { store: Mutex::default(), changed: watch::channel(0).0 });
+        let state =
+            Arc::new(State { store: Mutex::default(), revision_sender: watch::channel(0).0 });
         let acceptor = TcpAcceptor::from_std(listener)?;
         let routes = routes(state.clone());
         let server = tokio::spawn(async move {
@@ -121,8 +122,8 @@
     }
 
     /// The calls so far by kind, those refused included.
-    pub fn calls(&self) -> IndexMap<&'static str, u64> {
-        self.state.lock().calls.clone()
+    pub fn call_counts(&self) -> IndexMap<&'static str, u64> {
+        self.state.lock().call_counts.clone()
     }
 
     /// The value of a key, whatever the faults are.
@@ -147,22 +148,22 @@
 fn routes(state: Arc<State>) -> impl Endpoint {
     let gate = state.clone();
     let calls = Route::new()
-        .at("/kv", get(list))
-        .at("/kv/:key", get(read).put(write).delete(remove))
-        .at("/watch", get(wait_for_changes))
-        .at("/leases", post(make_lease))
+        .at("/kv", get(list_keys))
+        .at("/kv/:key", get(read_key).put(write_key).delete(delete_key))
+        .at("/watch", get(watch_keys))
+        .at("/leases", post(create_lease))
         .at("/leases/:id/renew", post(renew_lease))
-        .at("/vms", get(vms))
+        .at("/vms", get(list_vms))
         .data(state.clone())
         .around(move |endpoint, request| {
             let gate = gate.clone();
-            async move { pass(&gate, endpoint, request).await }
+            async move { apply_faults(&gate, endpoint, request).await }
         });
-    Route::new().at("/standin/faults", post(change_faults).data(state)).nest("/", calls)
+    Route::new().at("/standin/faults", post(update_faults).data(state)).nest("/", calls)
 }
 
 /// Counts a call and applies the faults to it.
-async fn pass<E: Endpoint>(
+async fn apply_faults<E: Endpoint>(
     state: &State,
     endpoint: Arc<E>,
     request: Request,
@@ -176,28 +177,28 @@
     } else {
         "read"
     };
-    let (faults, is_over) = state.lock().admit(kind);
+    let (faults, is_over) = state.lock().record_call(kind);
     tokio::time::sleep(Duration::from_millis(faults.delay_ms)).await;
     match faults.outage {
         Some(Outage::Fail) => return Ok(StatusCode::SERVICE_UNAVAILABLE.into_response()),
-        Some(Outage::Hang) => tokio::time::sleep(HANG).await,
+        Some(Outage::Hang) => tokio::time::sleep(HANG_TIME).await,
         None => {}
     }
     if is_over {
         return Ok(StatusCode::TOO_MANY_REQUESTS.into_response());
     }
     let response = endpoint.call(request).await?.into_response();
-    if is_write && state.lock().loses_answer() {
+    if is_write && state.lock().take_lost_answer() {
         return Ok(StatusCode::BAD_GATEWAY.into_response());
     }
     Ok(response)
 }
 
 #[handler]
-fn read(Data(state): Data<&Arc<State>>, Path(key): Path<String>) -> Response {
+fn read_key(Data(state): Data<&Arc<State>>, Path(key): Path<String>) -> Response {
     let mut store = state.lock();
     store.expire_leases();
-    match store.items.get(&*decode(&key)) {
+    match store.items.get(&*decode_key(&key)) {
         Some((value, revision)) => {
             Json(KvValue { value: value.clone(), revision: *revision }).into_response()
         }
@@ -206,7 +207,7 @@
 }
 
 #[handler]
-async fn write(
+async fn write_key(
     Data(state): Data<&Arc<State>>,
     Path(key): Path<String>,
     Query(params): Query<WriteParams>,
@@ -215,23 +216,23 @@
     let Ok(value) = body.into_string().await else {
         return StatusCode::BAD_REQUEST.into_response();
     };
-    if value.len() > MAX_VALUE_BYTES {
+    if value.len() > MAX_KV_VALUE_BYTES {
         return StatusCode::PAYLOAD_TOO_LARGE.into_response();
     }
-    state.change(decode(&key), Some(value.into()), &params)
+    state.apply_write(decode_key(&key), Some(value.into()), &params)
 }
 
 #[handler]
-fn remove(
+fn delete_key(
     Data(state): Data<&Arc<State>>,
     Path(key): Path<String>,
     Query(params): Query<WriteParams>,
 ) -> Response {
-    state.change(decode(&key), None, &params)
+    state.apply_write(decode_key(&key), None, &params)
 }
 
 #[handler]
-fn list(Data(state): Data<&Arc<State>>, Query(params): Query<PrefixParams>) -> Json<KvItems> {
+fn list_keys(Data(state): Data<&Arc<State>>, Query(params): Query<PrefixParams>) -> Json<KvItems> {
     let mut store = state.lock();
     store.expire_leases();
     let items = store.items.iter().filter(|(key, _)| key.starts_with(params.prefix.as_str()));
@@ -244,11 +245,11 @@
 }
 
 #[handler]
-async fn wait_for_changes(
+async fn watch_keys(
     Data(state): Data<&Arc<State>>,
     Query(params): Query<WatchParams>,
 ) -> Json<KvChanges> {
-    let mut changed = state.changed.subscribe();
+    let mut changed = state.revision_sender.subscribe();
     let end = tokio::time::Instant::now() + Duration::from_millis(params.wait_ms);
     loop {
         changed.borrow_and_update();
@@ -263,11 +264,16 @@
 }
 
 #[handler]
-fn make_lease(Data(state): Data<&Arc<State>>, Json(request): Json<LeaseRequest>) -> Json<LeaseId> {
+fn create_lease(
+    Data(state): Data<&Arc<State>>,
+    Json(request): Json<LeaseRequest>,
+) -> Json<LeaseId> {
     let mut store = state.lock();
     let id = eco_format!("lease-{}", store.leases.len() + 1);
     let ttl = Duration::from_millis(request.ttl_ms);
-    store.leases.insert(id.clone(), Lease { ends: Instant::now() + ttl, ttl, keys: Vec::new() });
+    store
+        .leases
+        .insert(id.clone(), Lease { expires_at: Instant::now() + ttl, ttl, keys: Vec::new() });
     Json(LeaseId { id })
 }
 
@@ -276,8 +282,8 @@
     let mut store = state.lock();
     store.expire_leases();
     match store.leases.get_mut(id.as_str()) {
-        Some(lease) if lease.ends > Instant::now() => {
-            lease.ends = Instant::now() + lease.ttl;
+        Some(lease) if lease.expires_at > Instant::now() => {
+            lease.expires_at = Instant::now() + lease.ttl;
             StatusCode::OK
         }
         _ => StatusCode::NOT_FOUND,
@@ -285,12 +291,12 @@
 }
 
 #[handler]
-fn vms(Data(state): Data<&Arc<State>>) -> Json<Vec<VmEntry>> {
+fn list_vms(Data(state): Data<&Arc<State>>) -> Json<Vec<VmEntry>> {
     Json(state.lock().vms.clone())
 }
 
 #[handler]
-fn change_faults(Data(state): Data<&Arc<State>>, Json(faults): Json<PlatformFaults>) {
+fn update_faults(Data(state): Data<&Arc<State>>, Json(faults): Json<PlatformFaults>) {
     state.lock().faults = faults;
 }
 
@@ -314,7 +320,12 @@
 
 impl State {
     /// Writes or removes a key under its condition.
-    fn change(&self, key: EcoString, value: Option<EcoString>, params: &WriteParams) -> Response {
+    fn apply_write(
+        &self,
+        key: EcoString,
+        value: Option<EcoString>,
+        params: &WriteParams,
+    ) -> Response {
         let mut store = self.lock();
         store.expire_leases();
         let place = store.items.get(&key).map_or(0, |(_, revision)| *revision);
@@ -327,7 +338,7 @@
             lease.keys.push(key.clone());
         }
         let revision = store.put(key, value);
-        self.changed.send_replace(revision);
+        self.revision_sender.send_replace(revision);
         Json(KvRevision { revision }).into_response()
     }
 
@@ -338,20 +349,20 @@
 
 impl Store {
     /// Counts a call and tells which faults it meets and whether it is over the rate.
-    fn admit(&mut self, kind: &'static str) -> (PlatformFaults, bool) {
-        *self.calls.entry(kind).or_default() += 1;
+    fn record_call(&mut self, kind: &'static str) -> (PlatformFaults, bool) {
+        *self.call_counts.entry(kind).or_default() += 1;
         let now = Instant::now();
-        let (start, count) = match self.second {
+        let (start, count) = match self.rate_window {
             Some((start, count)) if now < start + Duration::from_secs(1) => (start, count + 1),
             _ => (now, 1),
         };
-        self.second = Some((start, count));
+        self.rate_window = Some((start, count));
         let limit = self.faults.calls_per_s;
         (self.faults.clone(), limit > 0 && count > limit)
     }
 
     /// Whether the answer to a write that took effect is to be lost.
-    fn loses_answer(&mut self) -> bool {
+    fn take_lost_answer(&mut self) -> bool {
         let is_lost = self.faults.lose_answers > 0;
         self.faults.lose_answers = self.faults.lose_answers.saturating_sub(1);
         is_lost
@@ -363,8 +374,8 @@
             Some(value) => self.items.insert(key.clone(), (value.clone(), self.revision)),
             None => self.items.remove(&key),
         };
-        if self.changes.len() >= CHANGES_KEPT {
-            self.changes.drain(..CHANGES_KEPT / 2);
+        if self.changes.len() >= MAX_CHANGES {
+            self.changes.drain(..MAX_CHANGES / 2);
         }
         self.changes.push(KvItem { key, value, revision: self.revision });
         self.revision
@@ -382,7 +393,7 @@
         let ended: Vec<EcoString> = self
             .leases
             .values_mut()
-            .filter(|lease| lease.ends <= now)
+            .filter(|lease| lease.expires_at <= now)
             .flat_map(|lease| std::mem::take(&mut lease.keys))
             .collect();
         for key in ended {
@@ -392,6 +403,6 @@
 }
 
 /// Undoes the escapes of a key in a path.
-fn decode(key: &str) -> EcoString {
+fn decode_key(key: &str) -> EcoString {
     percent_decode_str(key).decode_utf8_lossy().as_ref().into()
 }
--- a/crates/sassafrasproxy-standin/src/process.rs
+++ b/crates/sassafrasproxy-standin/src/process.rs
@@ -15,15 +15,15 @@
 #[derive(Debug)]
 pub struct NodeProcess {
     child: Child,
-    addresses: Addresses,
+    addresses: ListenAddresses,
     /// Where its settings are.
-    _dir: TempDir,
+    _settings_dir: TempDir,
 }
 
 /// What a node prints once it listens.
 #[derive(Debug, Clone, Copy)]
 #[derive(Deserialize)]
-struct Addresses {
+struct ListenAddresses {
     listen: SocketAddr,
     peer_listen: SocketAddr,
 }
@@ -49,7 +49,7 @@
         // The rest is read and left alone, so that the node never waits for a reader.
         std::thread::spawn(move || output.read_to_end(&mut Vec::new()));
         let addresses = serde_json::from_str(&line)?;
-        Ok(Self { child, addresses, _dir: dir })
+        Ok(Self { child, addresses, _settings_dir: dir })
     }
 
     /// Where callers connect.
@@ -85,7 +85,7 @@
     }
 
     /// Waits for its end.
-    pub fn wait(&mut self) -> Result<ExitStatus> {
+    pub fn wait_for_exit(&mut self) -> Result<ExitStatus> {
         Ok(self.child.wait()?)
     }
 
