--- a/crates/sassafrasproxy-standin/src/upstream/mod.rs
+++ b/crates/sassafrasproxy-standin/src/upstream/mod.rs
@@ -33,10 +33,10 @@
 pub use self::setup::*;
 
 /// The spread of service times around their mean, as the sigma of a log-normal distribution.
-const SERVICE_SIGMA: f64 = 0.25;
+const SERVICE_TIME_SIGMA: f64 = 0.25;
 
 /// How many connections wait to be accepted.
-const BACKLOG: u32 = 1_024;
+const ACCEPT_BACKLOG: u32 = 1_024;
 
 type Answer = Response<Full<Bytes>>;
 
@@ -54,34 +54,34 @@
     state: Mutex<State>,
     /// Requests that hold a slot.
     running: AtomicU32,
-    most_running: AtomicU32,
-    connections: AtomicU32,
+    max_running: AtomicU32,
+    open_connections: AtomicU32,
     /// Ends the connections of the current process life.
-    death: Mutex<CancellationToken>,
+    crash_token: Mutex<CancellationToken>,
 }
 
 #[derive(Debug)]
 struct State {
     rng: StdRng,
-    boots: u32,
+    boot_count: u32,
     /// Answers since the caches were cold.
-    warm_answers: u32,
+    answers_since_cold: u32,
     /// While the process is away.
     down_ms: Option<u64>,
-    drains_in_status: bool,
-    drains_in_answers: bool,
-    sheds: bool,
-    straggle: Option<Straggle>,
-    lie: Option<UpstreamStatus>,
-    crosses: bool,
-    truncates: bool,
+    is_draining_in_status: bool,
+    is_draining_in_answers: bool,
+    is_shedding: bool,
+    stragglers: Option<Stragglers>,
+    status_override: Option<UpstreamStatus>,
+    sends_wrong_id: bool,
+    truncates_answers: bool,
     snapshots: Vec<HeldSnapshot>,
-    crash_on: Option<EcoString>,
-    runs: IndexMap<EcoString, Run>,
-    cancels: IndexMap<EcoString, Cancel>,
-    silences: Vec<Arc<AtomicBool>>,
-    deaths: u32,
-    service_ms: Vec<f32>,
+    crash_on_text: Option<EcoString>,
+    runs: IndexMap<EcoString, RunRecord>,
+    cancellations: IndexMap<EcoString, Cancellation>,
+    stall_flags: Vec<Arc<AtomicBool>>,
+    crash_count: u32,
+    service_times_ms: Vec<f32>,
 }
 
 impl UpstreamStandIn {
@@ -91,31 +91,31 @@
         let address = listener.local_addr()?;
         let state = State {
             rng: StdRng::seed_from_u64(setup.seed),
-            boots: 1,
-            warm_answers: setup.cold.map_or(0, |cold| cold.answers),
+            boot_count: 1,
+            answers_since_cold: setup.cold_start.map_or(0, |cold| cold.warm_up_answers),
             down_ms: None,
-            drains_in_status: false,
-            drains_in_answers: false,
-            sheds: false,
-            straggle: setup.straggle,
-            lie: None,
-            crosses: false,
-            truncates: false,
+            is_draining_in_status: false,
+            is_draining_in_answers: false,
+            is_shedding: false,
+            stragglers: setup.stragglers,
+            status_override: None,
+            sends_wrong_id: false,
+            truncates_answers: false,
             snapshots: setup.snapshots.clone(),
-            crash_on: None,
+            crash_on_text: None,
             runs: IndexMap::new(),
-            cancels: IndexMap::new(),
-            silences: Vec::new(),
-            deaths: 0,
-            service_ms: Vec::new(),
+            cancellations: IndexMap::new(),
+            stall_flags: Vec::new(),
+            crash_count: 0,
+            service_times_ms: Vec::new(),
         };
         let shared = Arc::new(Shared {
             setup,
             state: Mutex::new(state),
             running: AtomicU32::new(0),
-            most_running: AtomicU32::new(0),
-            connections: AtomicU32::new(0),
-            death: Mutex::default(),
+            max_running: AtomicU32::new(0),
+            open_connections: AtomicU32::new(0),
+            crash_token: Mutex::default(),
         });
         let server = tokio::spawn(serve(shared.clone(), address, listener));
         Ok(Self { address, shared, server: server.abort_handle() })
@@ -127,20 +127,18 @@
     }
 
     /// Switches a fault.
-    pub fn switch(&self, fault: UpstreamFault) {
-        self.shared.switch(fault);
+    pub fn apply_fault(&self, fault: UpstreamFault) {
+        self.shared.apply_fault(fault);
     }
 
     /// Every request that it began to run, oldest first.
-    pub fn runs(&self) -> Vec<Run> {
+    pub fn runs(&self) -> Vec<RunRecord> {
         self.shared.lock().runs.values().cloned().collect()
     }
 
     /// The most requests that ran at once since the last call.
-    pub fn take_most_running(&self) -> u32 {
-        self.shared
-            .most_running
-            .swap(self.shared.running.load(Ordering::Relaxed), Ordering::Relaxed)
+    pub fn take_max_running(&self) -> u32 {
+        self.shared.max_running.swap(self.shared.running.load(Ordering::Relaxed), Ordering::Relaxed)
     }
 
     /// How many requests it began to run.
@@ -159,13 +157,13 @@
     }
 
     /// How often its process died.
-    pub fn deaths(&self) -> u32 {
-        self.shared.lock().deaths
+    pub fn crash_count(&self) -> u32 {
+        self.shared.lock().crash_count
     }
 
     /// The service times drawn since the last call, in milliseconds.
-    pub fn take_service_ms(&self) -> Vec<f32> {
-        std::mem::take(&mut self.shared.lock().service_ms)
+    pub fn take_service_times_ms(&self) -> Vec<f32> {
+        std::mem::take(&mut self.shared.lock().service_times_ms)
     }
 }
 
@@ -180,47 +178,51 @@
     let socket = TcpSocket::new_v4()?;
     socket.set_reuseaddr(true)?;
     socket.bind(address)?;
-    socket.listen(BACKLOG)
+    socket.listen(ACCEPT_BACKLOG)
 }
 
 /// Lives, dies and lives again.
 async fn serve(shared: Arc<Shared>, address: SocketAddr, first: TcpListener) {
     let mut listener = Some(first);
     loop {
-        let death = shared.death.lock().unwrap_or_else(PoisonError::into_inner).clone();
+        let death = shared.crash_token.lock().unwrap_or_else(PoisonError::into_inner).clone();
         let mut connections = JoinSet::new();
         if let Some(listener) = listener.take() {
             tokio::select! {
                 () = death.cancelled() => {}
-                () = accept(&shared, listener, &mut connections) => {}
+                () = accept_connections(&shared, listener, &mut connections) => {}
             }
         }
         connections.shutdown().await;
         let down_ms = shared.lock().down_ms.take().unwrap_or(0);
         tokio::time::sleep(Duration::from_millis(down_ms)).await;
-        shared.start_again();
+        shared.restart();
         listener = listen(address).ok();
     }
 }
 
 /// Accepts connections for one life.
-async fn accept(shared: &Arc<Shared>, listener: TcpListener, connections: &mut JoinSet<()>) {
+async fn accept_connections(
+    shared: &Arc<Shared>,
+    listener: TcpListener,
+    connections: &mut JoinSet<()>,
+) {
     loop {
         let Ok((stream, _)) = listener.accept().await else { continue };
         while connections.try_join_next().is_some() {}
-        if shared.connections.load(Ordering::Relaxed) >= shared.setup.connections {
+        if shared.open_connections.load(Ordering::Relaxed) >= shared.setup.max_connections {
             continue;
         }
         let _ = stream.set_nodelay(true);
         let shared = shared.clone();
         connections.spawn(async move {
-            let _open = Count::enter(shared.clone(), |shared| &shared.connections);
-            tokio::time::sleep(ms(shared.setup.connect_ms)).await;
+            let _open = CountGuard::increment(shared.clone(), |shared| &shared.open_connections);
+            tokio::time::sleep(duration_from_ms(shared.setup.connect_ms)).await;
             let silence = Arc::new(AtomicBool::new(false));
-            shared.lock().silences.push(silence.clone());
+            shared.lock().stall_flags.push(silence.clone());
             let service = service_fn(|request| {
                 let (shared, silence) = (shared.clone(), silence.clone());
-                async move { Ok::<Answer, Infallible>(carry(&shared, &silence, request).await) }
+                async move { Ok::<Answer, Infallible>(serve_request(&shared, &silence, request).await) }
             });
             let _ = http1::Builder::new().serve_connection(TokioIo::new(stream), service).await;
         });
@@ -228,42 +230,46 @@
 }
 
 /// Serves one request, unless its connection is silent.
-async fn carry(shared: &Arc<Shared>, silence: &AtomicBool, request: Request<Incoming>) -> Answer {
-    tokio::time::sleep(ms(shared.setup.round_trip_ms / 2.0)).await;
+async fn serve_request(
+    shared: &Arc<Shared>,
+    silence: &AtomicBool,
+    request: Request<Incoming>,
+) -> Answer {
+    tokio::time::sleep(duration_from_ms(shared.setup.round_trip_ms / 2.0)).await;
     if silence.load(Ordering::Relaxed) {
         return std::future::pending().await;
     }
-    let mut answer = handle(shared, request).await;
+    let mut answer = route_request(shared, request).await;
     shared.add_headers(&mut answer);
-    tokio::time::sleep(ms(shared.setup.round_trip_ms / 2.0)).await;
+    tokio::time::sleep(duration_from_ms(shared.setup.round_trip_ms / 2.0)).await;
     if silence.load(Ordering::Relaxed) {
         return std::future::pending().await;
     }
     answer
 }
 
-async fn handle(shared: &Arc<Shared>, request: Request<Incoming>) -> Answer {
+async fn route_request(shared: &Arc<Shared>, request: Request<Incoming>) -> Answer {
     let path = request.uri().path().to_owned();
     match (request.method().clone(), path.as_str()) {
-        (Method::POST, "/query") => query(shared, request).await,
-        (Method::GET, "/status") => shared.status(),
-        (Method::POST, "/standin/fault") => switch(shared, request).await,
-        (Method::DELETE, path) => shared.cancel(path.trim_start_matches("/query/")).await,
-        _ => plain(StatusCode::NOT_FOUND),
+        (Method::POST, "/query") => handle_query(shared, request).await,
+        (Method::GET, "/status") => shared.status_answer(),
+        (Method::POST, "/standin/fault") => handle_fault_request(shared, request).await,
+        (Method::DELETE, path) => shared.cancel_run(path.trim_start_matches("/query/")).await,
+        _ => empty_answer(StatusCode::NOT_FOUND),
     }
 }
 
 /// Switches a fault that came over HTTP.
-async fn switch(shared: &Arc<Shared>, request: Request<Incoming>) -> Answer {
+async fn handle_fault_request(shared: &Arc<Shared>, request: Request<Incoming>) -> Answer {
     let body = request.into_body().collect().await.map(http_body_util::Collected::to_bytes);
     let fault = body.ok().and_then(|body| serde_json::from_slice::<UpstreamFault>(&body).ok());
-    let Some(fault) = fault else { return plain(StatusCode::BAD_REQUEST) };
-    shared.switch(fault);
-    plain(StatusCode::OK)
+    let Some(fault) = fault else { return empty_answer(StatusCode::BAD_REQUEST) };
+    shared.apply_fault(fault);
+    empty_answer(StatusCode::OK)
 }
 
 /// Runs a query.
-async fn query(shared: &Arc<Shared>, request: Request<Incoming>) -> Answer {
+async fn handle_query(shared: &Arc<Shared>, request: Request<Incoming>) -> Answer {
     let header = |name: &str| {
         request.headers().get(name).and_then(|value| value.to_str().ok()).unwrap_or("").to_owned()
     };
@@ -272,147 +278,159 @@
     let deadline_ms: u64 = header(DEADLINE_HEADER).parse().unwrap_or(u64::from(u32::MAX));
     let body = request.into_body().collect().await.map(http_body_util::Collected::to_bytes);
     let query = body.ok().and_then(|body| serde_json::from_slice::<UpstreamQuery>(&body).ok());
-    let Some(query) = query else { return plain(StatusCode::BAD_REQUEST) };
-    if !shared.holds(snapshot, &query.shard) {
-        return not_run(StatusCode::CONFLICT, &id);
+    let Some(query) = query else { return empty_answer(StatusCode::BAD_REQUEST) };
+    if !shared.holds_shard(snapshot, &query.shard) {
+        return not_run_answer(StatusCode::CONFLICT, &id);
     }
-    let Some(slot) = shared.enter() else { return not_run(StatusCode::TOO_MANY_REQUESTS, &id) };
-    let (service_ms, cancel) = shared.begin(&id, snapshot, &query);
+    let Some(slot) = shared.acquire_slot() else {
+        return not_run_answer(StatusCode::TOO_MANY_REQUESTS, &id);
+    };
+    let (service_ms, cancel) = shared.start_run(&id, snapshot, &query);
     let end = tokio::select! {
-        () = tokio::time::sleep(ms(service_ms)) => RunEnd::Answered,
-        () = tokio::time::sleep(Duration::from_millis(deadline_ms)) => RunEnd::Overdue,
-        () = cancel.wanted.cancelled() => RunEnd::Cancelled,
+        () = tokio::time::sleep(duration_from_ms(service_ms)) => RunOutcome::Answered,
+        () = tokio::time::sleep(Duration::from_millis(deadline_ms)) => RunOutcome::DeadlineExceeded,
+        () = cancel.requested.cancelled() => RunOutcome::Cancelled,
     };
     drop(slot);
-    cancel.done.cancel();
-    shared.end(&id, end);
-    if end != RunEnd::Answered {
-        return plain(StatusCode::GATEWAY_TIMEOUT);
+    cancel.completed.cancel();
+    shared.finish_run(&id, end);
+    if end != RunOutcome::Answered {
+        return empty_answer(StatusCode::GATEWAY_TIMEOUT);
     }
-    shared.answer(&id, snapshot, &query)
+    shared.query_answer(&id, snapshot, &query)
 }
 
 impl Shared {
-    fn switch(self: &Arc<Self>, fault: UpstreamFault) {
+    fn apply_fault(self: &Arc<Self>, fault: UpstreamFault) {
         let mut state = self.lock();
         match fault {
             UpstreamFault::Crash { down_ms } => {
                 drop(state);
-                self.die(down_ms);
+                self.crash(down_ms);
             }
-            UpstreamFault::TurnCold => state.warm_answers = 0,
+            UpstreamFault::TurnCold => state.answers_since_cold = 0,
             UpstreamFault::SilenceConnections => {
-                for silence in state.silences.drain(..) {
+                for silence in state.stall_flags.drain(..) {
                     silence.store(true, Ordering::Relaxed);
                 }
             }
             UpstreamFault::Drain { in_status, in_answers } => {
-                state.drains_in_status = in_status;
-                state.drains_in_answers = in_answers;
+                state.is_draining_in_status = in_status;
+                state.is_draining_in_answers = in_answers;
             }
-            UpstreamFault::Shed(sheds) => state.sheds = sheds,
-            UpstreamFault::Straggle(straggle) => state.straggle = straggle,
-            UpstreamFault::LieInStatus(lie) => state.lie = lie,
-            UpstreamFault::CrossAnswers(crosses) => state.crosses = crosses,
-            UpstreamFault::Truncate(truncates) => state.truncates = truncates,
+            UpstreamFault::Shed(sheds) => state.is_shedding = sheds,
+            UpstreamFault::Straggle(straggle) => state.stragglers = straggle,
+            UpstreamFault::LieInStatus(lie) => state.status_override = lie,
+            UpstreamFault::CrossAnswers(crosses) => state.sends_wrong_id = crosses,
+            UpstreamFault::Truncate(truncates) => state.truncates_answers = truncates,
             UpstreamFault::Hold(snapshots) => state.snapshots = snapshots,
-            UpstreamFault::CrashOn(text) => state.crash_on = text,
+            UpstreamFault::CrashOn(text) => state.crash_on_text = text,
         }
     }
 
     /// Ends this process life; every connection is cut.
-    fn die(&self, down_ms: u64) {
+    fn crash(&self, down_ms: u64) {
         let mut state = self.lock();
         state.down_ms = Some(down_ms);
-        state.deaths += 1;
-        state.cancels.clear();
+        state.crash_count += 1;
+        state.cancellations.clear();
         for run in state.runs.values_mut() {
-            run.end.get_or_insert(RunEnd::Died);
+            run.outcome.get_or_insert(RunOutcome::Crashed);
         }
         drop(state);
-        self.death.lock().unwrap_or_else(PoisonError::into_inner).cancel();
+        self.crash_token.lock().unwrap_or_else(PoisonError::into_inner).cancel();
     }
 
     /// Begins a new process life, with cold caches.
-    fn start_again(&self) {
-        *self.death.lock().unwrap_or_else(PoisonError::into_inner) = CancellationToken::new();
+    fn restart(&self) {
+        *self.crash_token.lock().unwrap_or_else(PoisonError::into_inner) = CancellationToken::new();
         let mut state = self.lock();
-        state.boots += 1;
-        state.warm_answers = 0;
-        state.silences.clear();
+        state.boot_count += 1;
+        state.answers_since_cold = 0;
+        state.stall_flags.clear();
     }
 
     /// Takes a slot, if there is one.
-    fn enter(self: &Arc<Self>) -> Option<Count> {
-        if self.lock().sheds {
+    fn acquire_slot(self: &Arc<Self>) -> Option<CountGuard> {
+        if self.lock().is_shedding {
             return None;
         }
-        let slot = Count::enter(self.clone(), |shared| &shared.running);
+        let slot = CountGuard::increment(self.clone(), |shared| &shared.running);
         let running = self.running.load(Ordering::Relaxed);
-        self.most_running.fetch_max(running, Ordering::Relaxed);
+        self.max_running.fetch_max(running, Ordering::Relaxed);
         (running <= self.setup.slots).then_some(slot)
     }
 
     /// Notes that a request runs and draws how long it takes; it may kill the process.
-    fn begin(&self, id: &EcoString, snapshot: SnapshotId, query: &UpstreamQuery) -> (f64, Cancel) {
+    fn start_run(
+        &self,
+        id: &EcoString,
+        snapshot: SnapshotId,
+        query: &UpstreamQuery,
+    ) -> (f64, Cancellation) {
         let mut state = self.lock();
-        let cancel = Cancel::default();
+        let cancel = Cancellation::default();
         let body: EcoString = query.body.get().into();
-        let is_deadly = state.crash_on.as_ref().is_some_and(|text| body.contains(text.as_str()));
-        let run = Run {
-            id: id.clone(),
+        let is_deadly =
+            state.crash_on_text.as_ref().is_some_and(|text| body.contains(text.as_str()));
+        let run = RunRecord {
+            attempt_id: id.clone(),
             kind: query.kind.clone(),
             shard: query.shard.clone(),
             snapshot,
             body,
-            end: None,
+            outcome: None,
         };
         state.runs.insert(id.clone(), run);
-        state.cancels.insert(id.clone(), cancel.clone());
-        let mut service_ms = state.draw_ms(self.setup.service_ms);
-        let cold = self.setup.cold.filter(|cold| state.warm_answers < cold.answers);
+        state.cancellations.insert(id.clone(), cancel.clone());
+        let mut service_ms = state.draw_service_ms(self.setup.mean_service_ms);
+        let cold =
+            self.setup.cold_start.filter(|cold| state.answers_since_cold < cold.warm_up_answers);
         let running = self.running.load(Ordering::Relaxed);
         drop(state);
         if let Some(cold) = cold {
-            service_ms *= cold.factor;
+            service_ms *= cold.slowdown_factor;
         }
-        if is_deadly || cold.is_some_and(|cold| running > cold.bears) {
-            self.die(if is_deadly { 100 } else { 500 });
+        if is_deadly || cold.is_some_and(|cold| running > cold.max_in_flight) {
+            self.crash(if is_deadly { 100 } else { 500 });
         }
         (service_ms, cancel)
     }
 
-    fn end(&self, id: &EcoString, end: RunEnd) {
+    fn finish_run(&self, id: &EcoString, end: RunOutcome) {
         let mut state = self.lock();
-        state.cancels.swap_remove(id);
-        if end == RunEnd::Answered {
-            state.warm_answers += 1;
+        state.cancellations.swap_remove(id);
+        if end == RunOutcome::Answered {
+            state.answers_since_cold += 1;
         }
         if let Some(run) = state.runs.get_mut(id) {
-            run.end = Some(end);
+            run.outcome = Some(end);
         }
     }
 
-    fn answer(&self, id: &EcoString, snapshot: SnapshotId, query: &UpstreamQuery) -> Answer {
+    fn query_answer(&self, id: &EcoString, snapshot: SnapshotId, query: &UpstreamQuery) -> Answer {
         let state = self.lock();
         let text = json!({ "shard": query.shard, "snapshot": snapshot, "echo": query.body });
         let mut text = text.to_string();
-        if state.truncates {
+        if state.truncates_answers {
             text.truncate(text.len() / 2);
         }
-        let id = if state.crosses { eco_format!("not-{id}") } else { id.clone() };
+        let id = if state.sends_wrong_id { eco_format!("not-{id}") } else { id.clone() };
         let mut answer = Response::new(Full::from(text));
-        set(&mut answer, REQUEST_ID_HEADER, &id);
-        set(&mut answer, SNAPSHOT_HEADER, &snapshot.to_string());
+        set_header(&mut answer, REQUEST_ID_HEADER, &id);
+        set_header(&mut answer, SNAPSHOT_HEADER, &snapshot.to_string());
         answer
     }
 
-    fn status(&self) -> Answer {
+    fn status_answer(&self) -> Answer {
         let state = self.lock();
-        let is_cold = self.setup.cold.is_some_and(|cold| state.warm_answers < cold.answers);
-        let status = state.lie.clone().unwrap_or_else(|| UpstreamStatus {
+        let is_cold = self
+            .setup
+            .cold_start
+            .is_some_and(|cold| state.answers_since_cold < cold.warm_up_answers);
+        let status = state.status_override.clone().unwrap_or_else(|| UpstreamStatus {
             boot_id: state.boot_id(),
-            state: match (state.drains_in_status, is_cold) {
+            state: match (state.is_draining_in_status, is_cold) {
                 (true, _) => UpstreamState::Draining,
                 (_, true) => UpstreamState::Cold,
                 _ => UpstreamState::Serving,
@@ -425,16 +443,16 @@
     }
 
     /// Cancels a request and confirms it once its slot is free.
-    async fn cancel(&self, id: &str) -> Answer {
-        let cancel = self.lock().cancels.get(id).cloned();
+    async fn cancel_run(&self, id: &str) -> Answer {
+        let cancel = self.lock().cancellations.get(id).cloned();
         if let Some(cancel) = cancel {
-            cancel.wanted.cancel();
-            cancel.done.cancelled().await;
+            cancel.requested.cancel();
+            cancel.completed.cancelled().await;
         }
-        plain(StatusCode::OK)
+        empty_answer(StatusCode::OK)
     }
 
-    fn holds(&self, snapshot: SnapshotId, shard: &str) -> bool {
+    fn holds_shard(&self, snapshot: SnapshotId, shard: &str) -> bool {
         let state = self.lock();
         let mut held = state.snapshots.iter().filter(|held| held.id == snapshot);
         held.any(|held| held.shards.iter().any(|name| name == shard))
@@ -442,10 +460,10 @@
 
     fn add_headers(&self, answer: &mut Answer) {
         let state = self.lock();
-        set(answer, BOOT_ID_HEADER, &state.boot_id());
-        set(answer, LOAD_HEADER, &self.running.load(Ordering::Relaxed).to_string());
-        if state.drains_in_answers {
-            set(answer, DRAINING_HEADER, "true");
+        set_header(answer, BOOT_ID_HEADER, &state.boot_id());
+        set_header(answer, LOAD_HEADER, &self.running.load(Ordering::Relaxed).to_string());
+        if state.is_draining_in_answers {
+            set_header(answer, DRAINING_HEADER, "true");
         }
     }
 
@@ -456,70 +474,71 @@
 
 impl State {
     fn boot_id(&self) -> EcoString {
-        eco_format!("boot-{}", self.boots)
+        eco_format!("boot-{}", self.boot_count)
     }
 
     /// Draws a service time in milliseconds.
-    fn draw_ms(&mut self, mean_ms: f64) -> f64 {
-        let mu = mean_ms.max(0.001).ln() - SERVICE_SIGMA * SERVICE_SIGMA / 2.0;
-        let spread = LogNormal::new(mu, SERVICE_SIGMA).map(|spread| spread.sample(&mut self.rng));
+    fn draw_service_ms(&mut self, mean_ms: f64) -> f64 {
+        let mu = mean_ms.max(0.001).ln() - SERVICE_TIME_SIGMA * SERVICE_TIME_SIGMA / 2.0;
+        let spread =
+            LogNormal::new(mu, SERVICE_TIME_SIGMA).map(|spread| spread.sample(&mut self.rng));
         let mut service_ms = spread.unwrap_or(mean_ms);
-        if let Some(straggle) = self.straggle
+        if let Some(straggle) = self.stragglers
             && self.rng.random_bool(straggle.probability)
         {
             service_ms *= straggle.factor;
         }
-        self.service_ms.push(service_ms as f32);
+        self.service_times_ms.push(service_ms as f32);
         service_ms
     }
 }
 
 /// How a running request is cancelled.
 #[derive(Debug, Clone, Default)]
-struct Cancel {
-    wanted: CancellationToken,
+struct Cancellation {
+    requested: CancellationToken,
     /// When its slot is free again.
-    done: CancellationToken,
+    completed: CancellationToken,
 }
 
 /// A place in a counter, given back when dropped.
-struct Count {
+struct CountGuard {
     shared: Arc<Shared>,
     counter: fn(&Shared) -> &AtomicU32,
 }
 
-impl Count {
-    fn enter(shared: Arc<Shared>, counter: fn(&Shared) -> &AtomicU32) -> Self {
+impl CountGuard {
+    fn increment(shared: Arc<Shared>, counter: fn(&Shared) -> &AtomicU32) -> Self {
         counter(&shared).fetch_add(1, Ordering::Relaxed);
         Self { shared, counter }
     }
 }
 
-impl Drop for Count {
+impl Drop for CountGuard {
     fn drop(&mut self) {
         (self.counter)(&self.shared).fetch_sub(1, Ordering::Relaxed);
     }
 }
 
-fn ms(ms: f64) -> Duration {
+fn duration_from_ms(ms: f64) -> Duration {
     Duration::from_secs_f64(ms / 1_000.0)
 }
 
-fn plain(status: StatusCode) -> Answer {
+fn empty_answer(status: StatusCode) -> Answer {
     let mut answer = Response::new(Full::default());
     *answer.status_mut() = status;
     answer
 }
 
 /// A refusal that proves that the request did not run.
-fn not_run(status: StatusCode, id: &str) -> Answer {
-    let mut answer = plain(status);
-    set(&mut answer, NOT_RUN_HEADER, "true");
-    set(&mut answer, REQUEST_ID_HEADER, id);
+fn not_run_answer(status: StatusCode, id: &str) -> Answer {
+    let mut answer = empty_answer(status);
+    set_header(&mut answer, NOT_RUN_HEADER, "true");
+    set_header(&mut answer, REQUEST_ID_HEADER, id);
     answer
 }
 
-fn set(answer: &mut Answer, name: &'static str, value: &str) {
+fn set_header(answer: &mut Answer, name: &'static str, value: &str) {
     if let Ok(value) = HeaderValue::from_str(value) {
         answer.headers_mut().insert(name, value);
     }
--- a/crates/sassafrasproxy-standin/src/upstream/setup.rs
+++ b/crates/sassafrasproxy-standin/src/upstream/setup.rs
@@ -10,17 +10,17 @@
     /// Requests that run at once; more are shed.
     pub slots: u32,
     /// Open connections; more are closed at once.
-    pub connections: u32,
+    pub max_connections: u32,
     /// How long a new connection takes before it serves, in milliseconds.
     pub connect_ms: f64,
     /// The network's time there and back, in milliseconds.
     pub round_trip_ms: f64,
     /// The mean time that a request takes, in milliseconds.
-    pub service_ms: f64,
+    pub mean_service_ms: f64,
     /// What it is like after a start.
-    pub cold: Option<ColdStart>,
+    pub cold_start: Option<ColdStart>,
     /// Requests that take far longer.
-    pub straggle: Option<Straggle>,
+    pub stragglers: Option<Stragglers>,
     /// The snapshots that it holds.
     pub snapshots: Vec<HeldSnapshot>,
     /// The seed of its service times.
@@ -31,17 +31,17 @@
 #[derive(Debug, Clone, Copy)]
 pub struct ColdStart {
     /// How many times longer requests take at first.
-    pub factor: f64,
+    pub slowdown_factor: f64,
     /// How many answers warm it up.
-    pub answers: u32,
+    pub warm_up_answers: u32,
     /// The most requests at once that do not make it fall over while it is cold.
-    pub bears: u32,
+    pub max_in_flight: u32,
 }
 
 /// Requests that take far longer than others.
 #[derive(Debug, Clone, Copy)]
 #[derive(Serialize, Deserialize)]
-pub struct Straggle {
+pub struct Stragglers {
     /// How many of them, 0 to 1.
     pub probability: f64,
     /// How many times longer they take.
@@ -73,7 +73,7 @@
     /// It sheds every request, or stops doing so.
     Shed(bool),
     /// Some requests take far longer.
-    Straggle(Option<Straggle>),
+    Straggle(Option<Stragglers>),
     /// Its status says this, whatever is true.
     LieInStatus(Option<UpstreamStatus>),
     /// Its answers carry the id of another request, or stop doing so.
@@ -88,9 +88,9 @@
 
 /// One request that an upstream began to run.
 #[derive(Debug, Clone)]
-pub struct Run {
+pub struct RunRecord {
     /// The id of the send.
-    pub id: EcoString,
+    pub attempt_id: EcoString,
     /// The kind of request.
     pub kind: EcoString,
     /// The shard.
@@ -100,18 +100,18 @@
     /// The caller's body.
     pub body: EcoString,
     /// How it ended, if it did.
-    pub end: Option<RunEnd>,
+    pub outcome: Option<RunOutcome>,
 }
 
 /// How a request ended in an upstream.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum RunEnd {
+pub enum RunOutcome {
     /// It was answered.
     Answered,
     /// It was cancelled.
     Cancelled,
     /// Its deadline passed.
-    Overdue,
+    DeadlineExceeded,
     /// The upstream died.
-    Died,
+    Crashed,
 }
--- a/crates/sassafrasproxy-wire/src/caller.rs
+++ b/crates/sassafrasproxy-wire/src/caller.rs
@@ -62,7 +62,7 @@
     /// The shard.
     pub shard: ShardId,
     /// Why it is missing.
-    pub reason: Reason,
+    pub reason: FailureReason,
 }
 
 /// The result of one shard.
@@ -102,7 +102,7 @@
     /// Never [`Outcome::Answered`].
     pub outcome: Outcome,
     /// The reason, for programs.
-    pub reason: Reason,
+    pub reason: FailureReason,
     /// The reason, for people, with what to do.
     pub detail: EcoString,
     /// When to come back, in milliseconds, for a refusal that may pass.
@@ -117,7 +117,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 #[derive(Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Reason {
+pub enum FailureReason {
     /// The request could not be read.
     BadRequest,
     /// The body is larger than the node reads.
@@ -170,7 +170,7 @@
     BelowMinCoverage,
 }
 
-impl Display for Reason {
+impl Display for FailureReason {
     fn fmt(&self, f: &mut Formatter<'_>) -> fmt::Result {
         self.serialize(f)
     }
@@ -181,7 +181,7 @@
 #[derive(Serialize, Deserialize)]
 pub struct AddressList {
     /// Entry addresses in the order to try them.
-    pub addresses: Vec<EntryAddress>,
+    pub addresses: Vec<IngressAddress>,
     /// How long the list may be kept, in milliseconds.
     pub keep_ms: u64,
 }
@@ -189,7 +189,7 @@
 /// One address that callers may use.
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
-pub struct EntryAddress {
+pub struct IngressAddress {
     /// `ip:port`.
     pub address: EcoString,
     /// Where the node is.
@@ -216,7 +216,7 @@
     /// All members, this node included.
     pub members: Vec<MemberStatus>,
     /// Each replica group and its home.
-    pub homes: Vec<HomeStatus>,
+    pub homes: Vec<GroupStatus>,
     /// Replicas of the groups that this node is the home of.
     pub replicas: Vec<ReplicaStatus>,
 }
@@ -240,7 +240,7 @@
 /// One replica group in a node's status.
 #[derive(Debug, Clone)]
 #[derive(Serialize, Deserialize)]
-pub struct HomeStatus {
+pub struct GroupStatus {
     /// The group.
     pub group: EcoString,
     /// Its home, if any node may be.
--- a/crates/sassafrasproxy-wire/src/claim.rs
+++ b/crates/sassafrasproxy-wire/src/claim.rs
@@ -52,7 +52,7 @@
 /// Records what became of a claimed request.
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
-pub struct RecordRequest {
+pub struct RecordEndingRequest {
     /// The caller's request id.
     pub key: EcoString,
     /// The token that the key was granted to.
@@ -64,22 +64,22 @@
 /// One segment of a bucket's log in the store; written once and never changed.
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
-pub struct ClaimSegment {
+pub struct ClaimLogSegment {
     /// Unique for each batch, to recognise it when the store's answer was lost.
     pub batch: EcoString,
     /// Its records, in order.
-    pub records: Vec<ClaimRecord>,
+    pub records: Vec<ClaimLogRecord>,
 }
 
 /// One record of a bucket's log.
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 #[serde(tag = "record", rename_all = "snake_case")]
-pub enum ClaimRecord {
+pub enum ClaimLogRecord {
     /// A key is claimed, unless an earlier record holds it.
     Claim(ClaimRequest),
     /// What became of a claimed request.
-    Ending(RecordRequest),
+    Ending(RecordEndingRequest),
     /// The log takes no more claims; the next epoch's goes on.
     Sealed,
 }
--- a/crates/sassafrasproxy-wire/src/lib.rs
+++ b/crates/sassafrasproxy-wire/src/lib.rs
@@ -2,7 +2,7 @@
 
 mod caller;
 mod claim;
-mod names;
+mod ids;
 mod peer;
 mod platform;
 mod relay;
@@ -13,7 +13,7 @@
 
 pub use self::caller::*;
 pub use self::claim::*;
-pub use self::names::*;
+pub use self::ids::*;
 pub use self::peer::*;
 pub use self::platform::*;
 pub use self::relay::*;
--- a/crates/sassafrasproxy-wire/src/peer.rs
+++ b/crates/sassafrasproxy-wire/src/peer.rs
@@ -4,7 +4,7 @@
 use indexmap::IndexMap;
 use serde::{Deserialize, Serialize};
 
-use crate::{Body, ConfigurationHead, Hlc, Reason, ShardId, SnapshotId};
+use crate::{Body, ConfigurationHead, FailureReason, Hlc, ShardId, SnapshotId};
 
 /// The method that asks a home to run a sub-request.
 pub const SUB_REQUEST_METHOD: &str = "sub_request";
@@ -15,7 +15,7 @@
 /// The method that probes a member.
 pub const PROBE_METHOD: &str = "probe";
 /// The method that asks a member to probe another.
-pub const PROBE_FOR_METHOD: &str = "probe_for";
+pub const INDIRECT_PROBE_METHOD: &str = "probe_for";
 /// The method that reads a peer's configuration.
 pub const CONFIGURATION_METHOD: &str = "configuration";
 /// The method that reads the holdings that a peer published.
@@ -27,7 +27,7 @@
 /// The method that claims a request key.
 pub const CLAIM_METHOD: &str = "claim";
 /// The method that records what became of a claimed request.
-pub const RECORD_METHOD: &str = "record";
+pub const RECORD_ENDING_METHOD: &str = "record";
 /// The method that tells that a request crashes upstreams.
 pub const QUARANTINE_METHOD: &str = "quarantine";
 
@@ -68,9 +68,9 @@
 /// A home's answer to a sub-request.
 #[derive(Debug, Clone)]
 #[derive(Serialize, Deserialize)]
-pub struct SubReply {
+pub struct SubRequestReply {
     /// What came of it.
-    pub outcome: SubOutcome,
+    pub outcome: SubRequestOutcome,
     /// The group's holdings, when the outcome says that the asker's are old.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub holdings: Option<GroupHoldings>,
@@ -83,20 +83,20 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum SubOutcome {
+pub enum SubRequestOutcome {
     /// The upstream answered for this request, shard and snapshot.
     Answered,
     /// It ran nowhere.
     NotRun {
         /// Why.
-        reason: Reason,
+        reason: FailureReason,
         /// When to come back, in milliseconds; 0 when coming back does not help.
         retry_after_ms: u64,
     },
     /// It may have run.
     Unknown {
         /// Why.
-        reason: Reason,
+        reason: FailureReason,
     },
     /// This node is not the shard's home, or not any more.
     NotHome {
@@ -105,9 +105,9 @@
     },
 }
 
-impl SubOutcome {
+impl SubRequestOutcome {
     /// The outcome of a sub-request that may have run elsewhere before: it proves less then.
-    pub fn after(self, may_have_run: bool) -> Self {
+    pub fn with_prior_run(self, may_have_run: bool) -> Self {
         match self {
             Self::NotRun { reason, .. } if may_have_run => Self::Unknown { reason },
             Self::NotHome { may_have_run: here } => {
@@ -212,7 +212,7 @@
 /// Asks a member to probe another on the asker's behalf.
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
-pub struct ProbeFor {
+pub struct IndirectProbeRequest {
     /// The peer address to probe.
     pub peer_address: EcoString,
     /// The heartbeat to pass on.
--- a/crates/sassafrasproxy-wire/src/platform.rs
+++ b/crates/sassafrasproxy-wire/src/platform.rs
@@ -4,7 +4,7 @@
 use serde::{Deserialize, Serialize};
 
 /// The largest value in bytes.
-pub const MAX_VALUE_BYTES: usize = 1_000_000;
+pub const MAX_KV_VALUE_BYTES: usize = 1_000_000;
 
 /// One key with its value.
 #[derive(Debug, Clone, PartialEq, Eq)]
--- a/crates/sassafrasproxy-wire/src/relay.rs
+++ b/crates/sassafrasproxy-wire/src/relay.rs
@@ -8,7 +8,7 @@
 #[derive(Serialize, Deserialize)]
 pub enum RelayRequest {
     /// Ask replicas.
-    Ask(RelayAsk),
+    Call(RelayCall),
     /// The caller has left: stop.
     Cancel {
         /// The ask.
@@ -19,7 +19,7 @@
 /// Asks a relay to send one request to several replicas.
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
-pub struct RelayAsk {
+pub struct RelayCall {
     /// Unique on its connection.
     pub id: u64,
     /// The caller's attempt id.
@@ -35,7 +35,7 @@
     /// The body.
     pub body: Vec<u8>,
     /// The time that remains, in microseconds.
-    pub left_us: u64,
+    pub remaining_us: u64,
     /// The hash of what the request asks.
     pub fingerprint: u64,
     /// How many of the greatest records the answer needs.
@@ -49,9 +49,9 @@
 #[derive(Serialize, Deserialize)]
 pub struct RelayPart {
     /// The shard's number in the entry's query.
-    pub shard: usize,
+    pub shard_index: usize,
     /// The replica's id; a relay that does not know it yet does not send.
-    pub replica: EcoString,
+    pub replica_id: EcoString,
 }
 
 /// What a relay answers: some parts of an ask that have ended.
@@ -61,27 +61,27 @@
     /// The ask.
     pub id: u64,
     /// The parts; each part of an ask comes once.
-    pub parts: Vec<RelayPartEnd>,
+    pub parts: Vec<RelayReplyPart>,
     /// The greatest records of all answered parts of this reply together.
-    pub records: Vec<u8>,
+    pub record_batch: Vec<u8>,
 }
 
 /// How one part ended.
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
-pub struct RelayPartEnd {
+pub struct RelayReplyPart {
     /// The shard's number in the entry's query.
-    pub shard: usize,
+    pub shard_index: usize,
     /// How it ended.
-    pub end: RelayEnd,
+    pub outcome: RelayPartOutcome,
     /// What the replica said of its load.
-    pub reported: Option<u32>,
+    pub reported_load: Option<u32>,
 }
 
 /// How a relay's send ended.
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
-pub enum RelayEnd {
+pub enum RelayPartOutcome {
     /// With an answer.
     Answered {
         /// The replica's signature.
@@ -98,5 +98,5 @@
     /// Without a usable answer.
     Lost,
     /// Without anything for as long as the send could wait.
-    Silent,
+    TimedOut,
 }
--- a/crates/sassafrasproxy-wire/src/service.rs
+++ b/crates/sassafrasproxy-wire/src/service.rs
@@ -36,11 +36,11 @@
     /// Its replicas; at least one.
     pub upstreams: Vec<UpstreamSpec>,
     /// Limits for each replica.
-    pub limits: Limits,
+    pub limits: ReplicaLimits,
     /// The deadline of a request that names none, in milliseconds.
     pub deadline_ms: u64,
     /// The kinds of request by name.
-    pub kinds: IndexMap<EcoString, KindSpec>,
+    pub kinds: IndexMap<EcoString, RequestKindSpec>,
 }
 
 /// One replica of a service.
@@ -58,7 +58,7 @@
 /// What each replica of a service bears.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
-pub struct Limits {
+pub struct ReplicaLimits {
     /// Sub-requests in flight; at least 1.
     pub slots: u32,
     /// Open connections; at least `slots`.
@@ -70,7 +70,7 @@
 /// How one kind of request may be repeated.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
-pub struct KindSpec {
+pub struct RequestKindSpec {
     /// Whether running it twice does no harm.
     pub idempotent: bool,
     /// Whether a second try may start before the first ends; only with `idempotent`.
--- a/crates/sassafrasproxy-wire/src/timeline.rs
+++ b/crates/sassafrasproxy-wire/src/timeline.rs
@@ -5,7 +5,7 @@
 use ecow::EcoString;
 use serde::{Deserialize, Serialize};
 
-use crate::{MemberState, Outcome, Reason, ShardId, SnapshotId};
+use crate::{FailureReason, MemberState, Outcome, ShardId, SnapshotId};
 
 /// A stamp of a hybrid logical clock: wall time that never runs backwards.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -35,7 +35,7 @@
 /// One event of the time line.
 #[derive(Debug, Clone, PartialEq)]
 #[derive(Serialize, Deserialize)]
-pub struct Event {
+pub struct TimelineEvent {
     /// When, in an order that respects messages between nodes.
     pub hlc: Hlc,
     /// The node's number for it; grows by one with each of its events.
@@ -49,14 +49,14 @@
     pub request_id: Option<EcoString>,
     /// What happened.
     #[serde(flatten)]
-    pub kind: EventKind,
+    pub kind: TimelineEventKind,
 }
 
 /// What happened.
 #[derive(Debug, Clone, PartialEq)]
 #[derive(Serialize, Deserialize)]
 #[serde(tag = "event", rename_all = "snake_case")]
-pub enum EventKind {
+pub enum TimelineEventKind {
     /// The node serves.
     NodeStarted,
     /// The node began its graceful shutdown.
@@ -145,7 +145,7 @@
         /// The shard.
         shard: ShardId,
         /// Why.
-        reason: Reason,
+        reason: FailureReason,
     },
     /// An upstream died under a request.
     RequestSuspected {
@@ -170,7 +170,7 @@
         outcome: Outcome,
         /// The reason, unless it was answered in full.
         #[serde(default, skip_serializing_if = "Option::is_none")]
-        reason: Option<Reason>,
+        reason: Option<FailureReason>,
         /// Covered shards over all shards.
         fraction: f64,
         /// How long it took, in milliseconds.
