--- a/crates/sassafrasproxy-node/src/caller_connections.rs
+++ b/crates/sassafrasproxy-node/src/caller_connections.rs
@@ -1,4 +1,4 @@
-//! Connections of callers, and how a caller that hangs up is noticed.
+//! Tracks the connections of callers and detects when a caller closes its connection.
 
 use std::io;
 use std::net::SocketAddr;
@@ -14,20 +14,20 @@
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 use tokio::net::{TcpListener, TcpStream};
 
-/// How often a connection that has unread bytes is looked at again.
+/// The interval between two checks of a connection that has unread bytes.
 const HANGUP_POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// A second handle of each caller's connection, to look for its end while a request runs.
+/// Second handles of callers' open connections, which detect a close while a request runs.
 ///
-/// Guards against work that goes on for a caller that has hung up: the HTTP server does not end a
-/// handler when its connection is closed, so upstream slots would stay taken until the deadline.
+/// Guards against work for a caller that has closed its connection: the HTTP server does not end
+/// a handler when its connection is closed, so upstream slots would stay in use until the deadline.
 #[derive(Debug, Clone, Default)]
 pub struct CallerConnections {
     streams: Arc<Mutex<IndexMap<SocketAddr, Arc<TcpStream>>>>,
 }
 
 impl CallerConnections {
-    /// Waits until a caller has closed its connection.
+    /// Waits until a caller closes its connection; never returns if the connection is unknown.
     pub async fn wait_until_closed(&self, caller: Option<SocketAddr>) {
         let stream = caller.and_then(|caller| self.lock().get(&caller).cloned());
         let Some(stream) = stream else { return std::future::pending().await };
@@ -44,16 +44,19 @@
     }
 }
 
-/// Accepts callers' connections and keeps a second handle of each while it is open.
+/// Accepts callers' connections and stores a second handle of each while it is open.
 pub struct CallerAcceptor {
     listener: TcpListener,
     connections: CallerConnections,
 }
 
 impl CallerAcceptor {
-    /// Accepts on a bound socket that does not block.
-    pub fn new(listener: std::net::TcpListener, callers: CallerConnections) -> io::Result<Self> {
-        Ok(Self { listener: TcpListener::from_std(listener)?, connections: callers })
+    /// Creates an acceptor from a bound, non-blocking socket.
+    pub fn new(
+        listener: std::net::TcpListener,
+        connections: CallerConnections,
+    ) -> io::Result<Self> {
+        Ok(Self { listener: TcpListener::from_std(listener)?, connections })
     }
 }
 
@@ -65,20 +68,19 @@
     }
 
     async fn accept(&mut self) -> io::Result<(Self::Io, LocalAddr, RemoteAddr, Scheme)> {
-        let (stream, caller) = self.listener.accept().await?;
+        let (stream, caller_address) = self.listener.accept().await?;
         stream.set_nodelay(true)?;
         let local = LocalAddr(stream.local_addr()?.into());
         let stream = stream.into_std()?;
-        let second = TcpStream::from_std(stream.try_clone()?)?;
-        self.connections.lock().insert(caller, Arc::new(second));
+        let second_handle = TcpStream::from_std(stream.try_clone()?)?;
+        self.connections.lock().insert(caller_address, Arc::new(second_handle));
         let stream = TcpStream::from_std(stream)?;
-        let stream =
-            CallerStream { stream, caller_address: caller, connections: self.connections.clone() };
-        Ok((stream, local, RemoteAddr(caller.into()), Scheme::HTTP))
+        let stream = CallerStream { stream, caller_address, connections: self.connections.clone() };
+        Ok((stream, local, RemoteAddr(caller_address.into()), Scheme::HTTP))
     }
 }
 
-/// A caller's connection; its second handle goes with it.
+/// A caller's connection; dropping it also removes the second handle.
 pub struct CallerStream {
     stream: TcpStream,
     caller_address: SocketAddr,
--- a/crates/sassafrasproxy-node/src/claim_buckets.rs
+++ b/crates/sassafrasproxy-node/src/claim_buckets.rs
@@ -1,4 +1,4 @@
-//! The buckets of claims of a node, one task for each that it serves.
+//! Runs the claim buckets of a node, one task per bucket that it serves.
 
 use std::sync::{Arc, Mutex, PoisonError};
 
@@ -15,13 +15,13 @@
 use crate::shared::Shared;
 use crate::{PlatformClient, PlatformError};
 
-/// The running buckets by number.
+/// The tasks of the running buckets, by bucket number.
 #[derive(Debug, Default)]
 pub struct ClaimBuckets {
     senders: Mutex<IndexMap<u32, mpsc::UnboundedSender<BucketInput>>>,
 }
 
-/// What a bucket's task takes in.
+/// An input of a bucket's task.
 #[derive(Debug)]
 enum BucketInput {
     Claim { request: ClaimRequest, reply: oneshot::Sender<ClaimAnswer> },
@@ -30,11 +30,11 @@
 }
 
 impl ClaimBuckets {
-    /// Claims a key at its bucket's home, or here if that cannot be reached.
+    /// Claims a key at its bucket's home, or in this node's own bucket if the call fails.
     ///
-    /// Returns the answer and the token that it is for. A token is used at one node only: the
-    /// second try here takes a new one, and the first, which may have been granted to nobody,
-    /// is given back.
+    /// Returns the answer and the token of the claim. A token is used at one node only, so the
+    /// local claim uses a new one. If the home may have granted the first token although its
+    /// answer did not arrive, that token is released.
     pub async fn claim(
         &self,
         shared: &Arc<Shared>,
@@ -57,7 +57,8 @@
         (self.claim_locally(shared, request(token.clone())).await, token)
     }
 
-    /// Records what became of a request, at its bucket's home or else here.
+    /// Records the ending of a request at its bucket's home, or in this node's own bucket if the
+    /// call to the home fails.
     pub async fn record_ending(&self, shared: &Arc<Shared>, request: RecordEndingRequest) {
         if let Some(address) = remote_home_address(shared, &request.key)
             && shared.peer_client.record_ending(&address, &request).await.is_ok()
@@ -75,24 +76,24 @@
         answer.await.unwrap_or(ClaimAnswer::Unavailable)
     }
 
-    /// Records what became of a request in this node's own bucket.
+    /// Records the ending of a request in this node's own bucket.
     pub fn record_ending_locally(&self, shared: &Arc<Shared>, request: RecordEndingRequest) {
         let bucket = self.bucket_sender(shared, claim_bucket_of(&request.key));
         let _ = bucket.send(BucketInput::RecordEnding(request));
     }
 
-    /// A bucket's task, started now if it does not run.
+    /// Returns the sender to a bucket's task; starts the task if it is not running.
     fn bucket_sender(
         &self,
         shared: &Arc<Shared>,
         bucket: u32,
     ) -> mpsc::UnboundedSender<BucketInput> {
-        let mut running = self.senders.lock().unwrap_or_else(PoisonError::into_inner);
-        running.entry(bucket).or_insert_with(|| start_bucket_task(shared, bucket)).clone()
+        let mut senders = self.senders.lock().unwrap_or_else(PoisonError::into_inner);
+        senders.entry(bucket).or_insert_with(|| start_bucket_task(shared, bucket)).clone()
     }
 }
 
-/// The peer address of a key's home, unless that is this node.
+/// Returns the peer address of the home of a key's bucket, or `None` if this node is the home.
 fn remote_home_address(shared: &Shared, key: &str) -> Option<EcoString> {
     let view = shared.view.load();
     let home =
@@ -100,12 +101,12 @@
     view.members.get(home).map(|member| member.peer_address.clone())
 }
 
-/// A token that no other claim has.
+/// Returns a new id that is unique over all nodes, for tokens and bucket epochs.
 fn new_unique_id(shared: &Shared) -> EcoString {
     eco_format!("{}-{:016x}", shared.instance_id, rand::random::<u64>())
 }
 
-/// Starts a bucket's task; it ends with its node.
+/// Starts a bucket's task, which runs until the node stops.
 fn start_bucket_task(shared: &Arc<Shared>, bucket: u32) -> mpsc::UnboundedSender<BucketInput> {
     let (sender, inputs) = mpsc::unbounded_channel();
     let policy = shared.tuning.claims;
@@ -120,7 +121,7 @@
     sender
 }
 
-/// The task around one bucket.
+/// The task that runs one bucket: it passes inputs to the reducer and performs its effects.
 struct BucketTask {
     shared: Arc<Shared>,
     bucket: ClaimBucket,
@@ -149,9 +150,9 @@
         match input {
             BucketInput::Claim { request, reply } => {
                 self.last_claim_id += 1;
-                let ticket = ClaimId(self.last_claim_id);
-                self.replies.insert(ticket, reply);
-                self.step(ClaimEvent::Claim { claim_id: ticket, request });
+                let claim_id = ClaimId(self.last_claim_id);
+                self.replies.insert(claim_id, reply);
+                self.step(ClaimEvent::Claim { claim_id, request });
             }
             BucketInput::RecordEnding(request) => self.step(ClaimEvent::RecordEnding(request)),
             BucketInput::CallFinished(result) => self.step(ClaimEvent::CallFinished(result)),
@@ -169,8 +170,8 @@
                         ));
                     });
                 }
-                ClaimEffect::Answer { claim_id: ticket, answer } => {
-                    if let Some(reply) = self.replies.swap_remove(&ticket) {
+                ClaimEffect::Answer { claim_id, answer } => {
+                    if let Some(reply) = self.replies.swap_remove(&claim_id) {
                         let _ = reply.send(answer);
                     }
                 }
@@ -183,7 +184,7 @@
     }
 }
 
-/// Makes one call of the store.
+/// Executes one store call.
 async fn execute_store_call(platform: &PlatformClient, call: StoreCall) -> StoreResult {
     match call {
         StoreCall::List { prefix } => match platform.list(&prefix).await {
@@ -197,7 +198,7 @@
             Ok(None) => StoreResult::Absent,
             Err(_) => StoreResult::Failed,
         },
-        StoreCall::Write { key, value: text } => match platform.write(&key, &text, 0).await {
+        StoreCall::Write { key, value } => match platform.write(&key, &value, 0).await {
             Ok(_) => StoreResult::Written,
             Err(PlatformError::Conflict { .. }) => StoreResult::Conflict,
             Err(_) => StoreResult::Failed,
@@ -205,7 +206,7 @@
     }
 }
 
-/// Removes an old epoch's segments, one call at a time.
+/// Deletes all keys with a prefix, one call at a time; stops at the first failure.
 async fn delete_by_prefix(platform: &PlatformClient, prefix: &str) {
     let Ok(items) = platform.list(prefix).await else { return };
     for item in items.items {
--- a/crates/sassafrasproxy-node/src/responses.rs
+++ b/crates/sassafrasproxy-node/src/responses.rs
@@ -1,4 +1,4 @@
-//! Answers and refusals as callers get them.
+//! Builds the HTTP responses that callers receive: answers and refusals.
 
 use ecow::{EcoString, eco_format};
 use poem::Response;
@@ -7,10 +7,10 @@
 
 use crate::query::QueryResult;
 
-/// When to come back after a refusal by this node itself, in milliseconds.
+/// The retry delay of a refusal that this node itself makes, in milliseconds.
 const RETRY_AFTER_MS: u64 = 500;
 
-/// The text of the answer to a query that was answered.
+/// Returns the JSON text of an answered query, or `None` if the query has any other outcome.
 pub fn answer_json(
     request_id: &EcoString,
     index: &EcoString,
@@ -31,7 +31,7 @@
     serde_json::to_string(&answer).ok().map(EcoString::from)
 }
 
-/// The response to a query that ran.
+/// Returns the response to a query that ran.
 pub fn query_response(request_id: EcoString, index: &EcoString, result: QueryResult) -> Response {
     if let Some(text) = answer_json(&request_id, index, &result) {
         return answer_response(&text);
@@ -52,26 +52,26 @@
     })
 }
 
-/// The response with an answer's text.
+/// Returns the response that carries the JSON text of an answer.
 pub fn answer_response(text: &EcoString) -> Response {
     json_response(StatusCode::OK, text.as_bytes().to_vec())
 }
 
-/// What is missing, for people.
+/// Returns a readable summary of the missing shards.
 fn describe_missing_shards(coverage: &Coverage) -> EcoString {
-    let all = coverage.covered.len() + coverage.missing.len();
+    let shard_count = coverage.covered.len() + coverage.missing.len();
     let first = coverage.missing.first();
     let example = first.map(|one| eco_format!(", first {} ({})", one.shard, one.reason));
     eco_format!(
-        "{} of {all} shards are missing{}",
+        "{} of {shard_count} shards are missing{}",
         coverage.missing.len(),
         example.unwrap_or_default()
     )
 }
 
-/// A refusal by this node itself, before anything was sent.
+/// Returns the refusal of a request by this node itself, before anything was sent upstream.
 pub fn not_run_refusal(request_id: EcoString, reason: FailureReason, detail: EcoString) -> Refusal {
-    let may_pass = matches!(
+    let is_temporary = matches!(
         reason,
         FailureReason::NoConfiguration
             | FailureReason::ClaimUnavailable
@@ -83,12 +83,12 @@
         outcome: Outcome::NotRun,
         reason,
         detail,
-        retry_after_ms: may_pass.then_some(RETRY_AFTER_MS),
+        retry_after_ms: is_temporary.then_some(RETRY_AFTER_MS),
         coverage: None,
     }
 }
 
-/// The response to a request that is not answered.
+/// Returns the response to a request that is refused or has no answer.
 pub fn refusal_response(refusal: &Refusal) -> Response {
     let status = match (refusal.outcome, refusal.reason) {
         (Outcome::Unknown | Outcome::Partial, _) => StatusCode::GATEWAY_TIMEOUT,
