--- a/crates/sassafrasproxy-node/src/control.rs
+++ b/crates/sassafrasproxy-node/src/control.rs
@@ -1,4 +1,5 @@
-//! The control thread: the reducer, its timer, and the I/O that its effects ask for.
+//! The control thread: runs the control reducer and its timer, and performs the I/O that its
+//! effects request.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -19,43 +20,43 @@
 use crate::publish::read_configuration;
 use crate::shared::Shared;
 
-/// How long one watch of the store waits.
+/// The maximum wait of one long poll for changes in the store.
 const WATCH_WAIT: Duration = Duration::from_secs(20);
 
-/// The pause after a failed call to the store, doubled each time.
+/// The backoff after the first failed call to the store; it doubles with each further failure.
 const MIN_BACKOFF: Duration = Duration::from_millis(200);
 
-/// The longest pause after a failed call to the store.
+/// The maximum backoff after a failed call to the store.
 const MAX_BACKOFF: Duration = Duration::from_secs(5);
 
-/// What the control thread takes in.
+/// An input of the control thread.
 #[derive(Debug)]
 pub enum ControlInput {
     /// An event for the reducer.
     Event(ControlEvent),
-    /// A peer's probe, to be answered with a heartbeat.
+    /// A peer's probe, which is answered with a heartbeat.
     ProbeReceived { heartbeat: Heartbeat, reply: oneshot::Sender<Heartbeat> },
-    /// A configuration was read, from the store or a peer.
+    /// A configuration was read from the store or from a peer.
     ConfigurationFetched { head: ConfigurationHead, chunks: IndexMap<EcoString, EcoString> },
-    /// A peer asks for the configuration.
+    /// A peer requests the configuration.
     ConfigurationRequested {
         request: ConfigurationRequest,
         reply: oneshot::Sender<PeerConfiguration>,
     },
-    /// A peer asks for this node's holdings.
+    /// A peer requests this node's holdings.
     HoldingsRequested { reply: oneshot::Sender<NodeHoldings> },
-    /// The node's status is asked for.
+    /// An operator requests the node's status.
     StatusRequested { reply: oneshot::Sender<ControlStatus> },
-    /// The node ends.
+    /// The node stops.
     Stop,
 }
 
-/// The control thread's part of the node's status.
+/// The part of the node's status that the control thread reports.
 #[derive(Debug)]
 pub struct ControlStatus {
-    /// All members, the dead ones included.
+    /// All members, including the dead ones.
     pub members: Vec<MemberStatus>,
-    /// A newer revision that was refused, with the reason.
+    /// Why a newer configuration revision was rejected, if one was.
     pub rejected_revision: Option<EcoString>,
 }
 
@@ -64,31 +65,31 @@
     control_plane: ControlPlane,
     shared: Arc<Shared>,
     platform: PlatformClient,
-    /// Where I/O runs, apart from this thread.
+    /// The runtime that performs the I/O, outside this thread.
     io_runtime: Handle,
     watch_enabled: watch::Sender<bool>,
     head: Option<ConfigurationHead>,
-    /// The texts of the chunks that the head names.
+    /// The texts of the chunks that the head names, by chunk name.
     chunks: IndexMap<EcoString, EcoString>,
 }
 
 impl ControlThread {
-    /// Starts the thread; it ends with [`ControlInput::Stop`].
+    /// Starts the control thread, which runs until it receives [`ControlInput::Stop`].
     pub fn start(
-        control: ControlPlane,
+        control_plane: ControlPlane,
         shared: Arc<Shared>,
         platform: PlatformClient,
         inputs: mpsc::UnboundedReceiver<ControlInput>,
     ) -> std::io::Result<std::thread::JoinHandle<()>> {
-        let traffic = Handle::current();
-        let (watch, watching) = watch::channel(false);
-        traffic.spawn(watch_store(shared.clone(), platform.clone(), watching));
+        let io_runtime = Handle::current();
+        let (watch_enabled, watch_enabled_receiver) = watch::channel(false);
+        io_runtime.spawn(watch_store(shared.clone(), platform.clone(), watch_enabled_receiver));
         let thread = Self {
-            control_plane: control,
+            control_plane,
             shared,
             platform,
-            io_runtime: traffic,
-            watch_enabled: watch,
+            io_runtime,
+            watch_enabled,
             head: None,
             chunks: IndexMap::new(),
         };
@@ -98,10 +99,11 @@
             .spawn(move || runtime.block_on(thread.run(inputs)))
     }
 
-    /// Takes inputs in until the node ends.
+    /// Handles inputs and timer ticks until the node stops.
     async fn run(mut self, mut inputs: mpsc::UnboundedReceiver<ControlInput>) {
-        let period = Duration::from_micros(self.shared.tuning.control.heartbeat_interval_us);
-        let mut tick = tokio::time::interval(period);
+        let heartbeat_interval =
+            Duration::from_micros(self.shared.tuning.control.heartbeat_interval_us);
+        let mut tick = tokio::time::interval(heartbeat_interval);
         tick.set_missed_tick_behavior(MissedTickBehavior::Delay);
         loop {
             tokio::select! {
@@ -124,8 +126,8 @@
             }
             ControlInput::ProbeReceived { heartbeat, reply } => {
                 self.shared.events.merge_hlc(heartbeat.hlc);
-                let stamp = self.shared.events.next_hlc();
-                let answer = self.control_plane.heartbeat(stamp, Some(&heartbeat));
+                let hlc = self.shared.events.next_hlc();
+                let answer = self.control_plane.heartbeat(hlc, Some(&heartbeat));
                 let _ = reply.send(answer);
                 self.step(ControlEvent::HeartbeatReceived(heartbeat));
             }
@@ -145,7 +147,8 @@
         }
     }
 
-    /// Puts a configuration together and gives it to the reducer, or the reason against it.
+    /// Assembles a configuration and passes it to the reducer; a permanent error is passed as a
+    /// rejection of the revision, any other error is only logged.
     fn apply_configuration(
         &mut self,
         head: ConfigurationHead,
@@ -171,7 +174,7 @@
         }
     }
 
-    /// The configuration in force, less the chunks that the asker has.
+    /// Returns the active configuration without the chunks that the requester already has.
     fn peer_configuration(&self, request: &ConfigurationRequest) -> PeerConfiguration {
         let wanted = self.chunks.iter().filter(|(name, _)| !request.have.contains(name));
         let chunks = wanted.map(|(name, text)| (name.clone(), text.clone())).collect();
@@ -179,8 +182,8 @@
     }
 
     fn status(&self) -> ControlStatus {
-        let me = &self.shared.settings.name;
-        let revision_of = |member: &Member| match member.node == *me {
+        let local_node = &self.shared.settings.name;
+        let revision_of = |member: &Member| match member.node == *local_node {
             true => self.control_plane.revision(),
             false => member.revision,
         };
@@ -212,8 +215,8 @@
     fn perform_effect(&mut self, effect: ControlEffect) {
         match effect {
             ControlEffect::Probe { peer_address } => self.probe(peer_address),
-            ControlEffect::ProbeIndirectly { via_peer_addresses: vias, peer_address } => {
-                self.probe_indirectly(vias, peer_address);
+            ControlEffect::ProbeIndirectly { via_peer_addresses, peer_address } => {
+                self.probe_indirectly(via_peer_addresses, peer_address);
             }
             ControlEffect::PullConfiguration { peer_address } => {
                 self.pull_configuration(peer_address);
@@ -252,7 +255,7 @@
         }
     }
 
-    /// Sends a heartbeat and reports what came of it.
+    /// Sends a heartbeat to a peer and reports the answer or the failure to the reducer.
     fn probe(&mut self, peer_address: EcoString) {
         let heartbeat = self.control_plane.heartbeat(self.shared.events.next_hlc(), None);
         self.spawn_io(async move |shared| {
@@ -265,14 +268,15 @@
         });
     }
 
-    /// Asks members to probe another; one answer to any of them is enough.
-    fn probe_indirectly(&mut self, vias: Vec<EcoString>, peer_address: EcoString) {
+    /// Asks several members to probe a peer; one answer through any of them is enough.
+    fn probe_indirectly(&mut self, via_peer_addresses: Vec<EcoString>, peer_address: EcoString) {
         let heartbeat = self.control_plane.heartbeat(self.shared.events.next_hlc(), None);
         let request = IndirectProbeRequest { peer_address: peer_address.clone(), heartbeat };
         self.spawn_io(async move |shared| {
             let sent_us = shared.clock.now_us();
-            let asks = vias.iter().map(|via| shared.peer_client.probe_for(via, &request));
-            let answers = futures_util::future::join_all(asks).await;
+            let probes =
+                via_peer_addresses.iter().map(|via| shared.peer_client.probe_for(via, &request));
+            let answers = futures_util::future::join_all(probes).await;
             let event = match answers.into_iter().flatten().flatten().next() {
                 Some(answer) => ControlEvent::HeartbeatReceived(answer),
                 None => ControlEvent::ProbeFailed { peer_address, sent_us, is_indirect: true },
@@ -301,13 +305,13 @@
         for peer_address in peer_addresses {
             let holdings = holdings.clone();
             self.spawn_io(async move |shared| {
-                // A lost push is made good by the pull that the next heartbeat causes.
+                // If a push is lost, the next heartbeat causes the peer to pull the holdings.
                 let _ = shared.peer_client.push_holdings(&peer_address, &holdings).await;
             });
         }
     }
 
-    /// Runs I/O among the traffic.
+    /// Spawns I/O on the runtime that also serves queries.
     fn spawn_io<F>(&self, io: impl FnOnce(Arc<Shared>) -> F)
     where
         F: Future<Output = ()> + Send + 'static,
@@ -316,37 +320,38 @@
     }
 }
 
-/// Watches the store for configurations while this node is one of its domain's watchers.
+/// Watches the store for configurations while this node is a watcher of its failure domain.
 async fn watch_store(
     shared: Arc<Shared>,
     platform: PlatformClient,
-    mut watching: watch::Receiver<bool>,
+    mut watch_enabled: watch::Receiver<bool>,
 ) {
     let mut after = 0;
-    let mut pause = MIN_BACKOFF;
+    let mut backoff = MIN_BACKOFF;
     let mut have = IndexMap::new();
     loop {
-        if watching.wait_for(|is_on| *is_on).await.is_err() {
+        if watch_enabled.wait_for(|is_on| *is_on).await.is_err() {
             return;
         }
         match watch_once(&shared, &platform, after, &mut have).await {
             Some(revision) => {
                 after = revision;
-                pause = MIN_BACKOFF;
+                backoff = MIN_BACKOFF;
             }
             None => {
                 let jitter = rand::random_range(0.5..1.0);
-                tokio::time::sleep(pause.mul_f64(jitter)).await;
-                pause = (pause * 2).min(MAX_BACKOFF);
+                tokio::time::sleep(backoff.mul_f64(jitter)).await;
+                backoff = (backoff * 2).min(MAX_BACKOFF);
             }
         }
     }
 }
 
-/// Waits for one change and reads it; returns the store's revision to go on from.
+/// Waits for one change of the configuration and reads it; returns the store revision from which
+/// the next watch continues, or `None` if a call failed.
 ///
-/// A watch from 0 returns at once with what is there, so a watcher that starts or comes back
-/// after an outage misses nothing.
+/// A watch from revision 0 returns the current value at once, so a watcher misses no change when
+/// it starts or recovers from an outage.
 async fn watch_once(
     shared: &Shared,
     platform: &PlatformClient,
--- a/crates/sassafrasproxy-node/src/events.rs
+++ b/crates/sassafrasproxy-node/src/events.rs
@@ -1,4 +1,4 @@
-//! The node's part of the time line, kept in memory.
+//! Keeps the node's timeline events in memory and logs them.
 
 use std::collections::VecDeque;
 use std::sync::{Mutex, MutexGuard, PoisonError};
@@ -8,13 +8,13 @@
 use sassafrasproxy_clock::unix_time_ms;
 use sassafrasproxy_wire::{Hlc, TimelineEvent, TimelineEventKind};
 
-/// How many events a node keeps; VMs have no disks, and older ones are in the logs.
+/// The maximum number of events in memory. VMs have no disks; older events are in the logs.
 const MAX_EVENTS: usize = 8_192;
 
-/// The log target of time line events, whose messages are JSON already.
+/// The log target of timeline events, whose messages are already JSON.
 pub const TIMELINE_TARGET: &str = "timeline";
 
-/// The node's events, oldest first.
+/// The node's timeline events, oldest first.
 #[derive(Debug)]
 pub struct EventLog {
     node: EcoString,
@@ -30,12 +30,14 @@
 }
 
 impl EventLog {
-    /// An empty log.
+    /// Creates an empty event log.
     pub fn new(node: EcoString, failure_domain: EcoString) -> Self {
         Self { node, failure_domain, state: Mutex::default() }
     }
 
-    /// Adds an event, and logs it.
+    /// Records an event and logs it, at debug level if it belongs to a request.
+    ///
+    /// If the log is full, the oldest event is dropped.
     pub fn record(&self, request_id: Option<EcoString>, kind: TimelineEventKind) {
         let is_per_query = request_id.is_some();
         let mut state = self.lock();
@@ -62,20 +64,20 @@
         }
     }
 
-    /// A new stamp of the hybrid logical clock.
+    /// Advances the hybrid logical clock and returns its timestamp.
     pub fn next_hlc(&self) -> Hlc {
         let mut state = self.lock();
         state.hlc = state.hlc.tick(unix_time_ms());
         state.hlc
     }
 
-    /// Moves the hybrid logical clock past a stamp heard from a peer.
-    pub fn merge_hlc(&self, heard: Hlc) {
+    /// Advances the hybrid logical clock past a timestamp received from a peer.
+    pub fn merge_hlc(&self, received: Hlc) {
         let mut state = self.lock();
-        state.hlc = state.hlc.merge(heard, unix_time_ms());
+        state.hlc = state.hlc.merge(received, unix_time_ms());
     }
 
-    /// The events with a sequence number above `after`, oldest first.
+    /// Returns the events with a sequence number above `after`, oldest first.
     pub fn events_after(&self, after: u64) -> Vec<TimelineEvent> {
         self.lock().events.iter().filter(|event| event.sequence > after).cloned().collect()
     }
--- a/crates/sassafrasproxy-node/src/http.rs
+++ b/crates/sassafrasproxy-node/src/http.rs
@@ -1,4 +1,4 @@
-//! What callers and operators get over HTTP.
+//! Serves the HTTP interface of a node to callers and operators.
 
 use std::sync::{Arc, Mutex, PoisonError};
 
@@ -26,36 +26,33 @@
 };
 use crate::shared::Shared;
 
-/// The largest body of a query in bytes.
+/// The maximum size of a query's body, in bytes.
 const MAX_BODY_BYTES: usize = 1 << 20;
 
-/// The longest deadline that a caller may name, in milliseconds.
+/// The maximum deadline that a caller may set, in milliseconds.
 const MAX_DEADLINE_MS: u64 = 60_000;
 
-/// The least time kept back to put the answer together and send it, in microseconds.
+/// The minimum answer reserve, the time kept to assemble and send the answer, in microseconds.
 const MIN_ANSWER_RESERVE_US: u64 = 3_000;
 
-/// The part of a deadline that is kept back: one part in this many.
+/// The deadline divided by this value is the answer reserve, if it is above the minimum.
 const ANSWER_RESERVE_DIVISOR: u64 = 20;
 
-/// The most addresses that a caller is told.
+/// The maximum number of addresses in the answer to a caller.
 const MAX_ADDRESSES: usize = 16;
 
 /// The state of the HTTP interface.
 pub struct HttpState {
     shared: Arc<Shared>,
     caller_connections: CallerConnections,
-    /// Ids of the requests that run now.
+    /// The ids of the idempotent requests that are running.
     active_request_ids: Mutex<IndexSet<EcoString>>,
 }
 
-/// All routes.
-pub fn routes(shared: Arc<Shared>, callers: CallerConnections) -> impl IntoEndpoint {
-    let http = Arc::new(HttpState {
-        shared,
-        caller_connections: callers,
-        active_request_ids: Mutex::default(),
-    });
+/// Returns the routes of the HTTP interface.
+pub fn routes(shared: Arc<Shared>, caller_connections: CallerConnections) -> impl IntoEndpoint {
+    let http =
+        Arc::new(HttpState { shared, caller_connections, active_request_ids: Mutex::default() });
     Route::new()
         .at("/v1/query", post(run_query))
         .at("/v1/addresses", get(addresses))
@@ -66,7 +63,7 @@
         .data(http)
 }
 
-/// A request that was checked.
+/// A query that passed validation.
 struct ValidatedQuery {
     job: QueryJob,
     index: EcoString,
@@ -78,47 +75,52 @@
         Some(id) => EcoString::from(id),
         None => eco_format!("{:032x}", rand::random::<u128>()),
     };
-    let has_id = request.header(REQUEST_ID_HEADER).is_some();
+    let has_request_id = request.header(REQUEST_ID_HEADER).is_some();
     let deadline = request.header(DEADLINE_HEADER);
-    let text = body.into_bytes_limit(MAX_BODY_BYTES).await;
-    let checked = match text {
-        Ok(text) => http.validate(request_id.clone(), has_id, deadline, &text),
+    let body = body.into_bytes_limit(MAX_BODY_BYTES).await;
+    let validated = match body {
+        Ok(text) => http.validate(request_id.clone(), has_request_id, deadline, &text),
         Err(poem::error::ReadBodyError::PayloadTooLarge) => {
-            let detail = eco_format!("send at most {MAX_BODY_BYTES} bytes");
+            let detail =
+                eco_format!("the request body is too large; send at most {MAX_BODY_BYTES} bytes");
             Err(not_run_refusal(request_id, FailureReason::BodyTooLarge, detail))
         }
         Err(error) => {
             Err(not_run_refusal(request_id, FailureReason::BadRequest, eco_format!("{error}")))
         }
     };
-    let checked = match checked {
-        Ok(checked) => checked,
+    let validated = match validated {
+        Ok(validated) => validated,
         Err(refusal) => return refusal_response(&refusal),
     };
-    if !checked.job.spec.is_idempotent {
-        return run_non_idempotent(&http, checked).await;
+    if !validated.job.spec.is_idempotent {
+        return run_non_idempotent(&http, validated).await;
     }
-    let Some(_running) = ActiveRequestGuard::try_insert(&http, &checked.job.request_id) else {
+    let Some(_guard) = ActiveRequestGuard::try_insert(&http, &validated.job.request_id) else {
         let detail = "a request with this id is running; use an id for one request only".into();
         let refusal =
-            not_run_refusal(checked.job.request_id, FailureReason::DuplicateRequestId, detail);
+            not_run_refusal(validated.job.request_id, FailureReason::DuplicateRequestId, detail);
         return refusal_response(&refusal);
     };
     let caller = request.remote_addr().as_socket_addr().copied();
     let result = tokio::select! {
-        result = query::run(&http.shared, &checked.job) => result,
+        result = query::run(&http.shared, &validated.job) => result,
         () = http.caller_connections.wait_until_closed(caller) => {
             let detail = "the caller closed its connection".into();
-            return refusal_response(&not_run_refusal(checked.job.request_id, FailureReason::CallerGone, detail));
+            return refusal_response(&not_run_refusal(
+                validated.job.request_id,
+                FailureReason::CallerGone,
+                detail,
+            ));
         }
     };
-    query_response(checked.job.request_id, &checked.index, result)
+    query_response(validated.job.request_id, &validated.index, result)
 }
 
-/// Runs a request that may run once only; it goes on to its end when its caller goes away.
-async fn run_non_idempotent(http: &HttpState, checked: ValidatedQuery) -> Response {
+/// Runs a request that is not idempotent; it runs to its end even if its caller disconnects.
+async fn run_non_idempotent(http: &HttpState, validated: ValidatedQuery) -> Response {
     let shared = http.shared.clone();
-    let ValidatedQuery { job, index } = checked;
+    let ValidatedQuery { job, index } = validated;
     let request_id = job.request_id.clone();
     let run = tokio::spawn(async move {
         let to_text = |result: &QueryResult| answer_json(&job.request_id, &index, result);
@@ -136,7 +138,7 @@
         }
         Ok((NonIdempotentResult::AlreadyAnswered(text), _)) => answer_response(&text),
         Ok((NonIdempotentResult::KeyUsed, _)) => {
-            let detail = "this key was used before and its outcome is not known yet, or for good";
+            let detail = "this key was used before; the outcome is not known yet or stays unknown";
             refuse_as(Outcome::Unknown, FailureReason::KeyUsed, detail)
         }
         Ok((NonIdempotentResult::KeyReused, _)) => {
@@ -144,7 +146,8 @@
             refuse_as(Outcome::NotRun, FailureReason::KeyReused, detail)
         }
         Ok((NonIdempotentResult::ClaimUnavailable, _)) => {
-            let detail = "the request could not be claimed in time, so it was not run";
+            let detail =
+                "the request could not be claimed before its deadline, so it was not run; retry it";
             refuse_as(Outcome::NotRun, FailureReason::ClaimUnavailable, detail)
         }
         Err(_) => {
@@ -232,18 +235,18 @@
 }
 
 impl HttpState {
-    /// Checks a request against the configuration.
+    /// Validates a request against the active configuration and computes its soft deadline.
     fn validate(
         &self,
         request_id: EcoString,
-        has_id: bool,
+        has_request_id: bool,
         deadline: Option<&str>,
         text: &[u8],
     ) -> Result<ValidatedQuery, Refusal> {
         let refuse =
             |reason, detail: EcoString| Err(not_run_refusal(request_id.clone(), reason, detail));
         if request_id.is_empty() || request_id.len() > MAX_REQUEST_ID_BYTES {
-            let detail = eco_format!("use a request id of 1 to {MAX_REQUEST_ID_BYTES} bytes");
+            let detail = eco_format!("the request id must have 1 to {MAX_REQUEST_ID_BYTES} bytes");
             return refuse(FailureReason::BadRequest, detail);
         }
         let query: QueryRequest = match serde_json::from_slice(text) {
@@ -252,7 +255,7 @@
         };
         let view = self.shared.view.load();
         if view.configuration.revision == 0 {
-            let detail = "no configuration is in force yet; come back".into();
+            let detail = "this node has no active configuration yet; retry later".into();
             return refuse(FailureReason::NoConfiguration, detail);
         }
         let services = match find_services(&view, &query) {
@@ -260,44 +263,53 @@
             Err((reason, detail)) => return refuse(reason, detail),
         };
         let Some(index) = services.first().map(|service| service.index.clone()) else {
-            return refuse(FailureReason::BadRequest, "name at least one service".into());
+            return refuse(
+                FailureReason::BadRequest,
+                "`services` is empty; name at least one service".into(),
+            );
         };
         let is_idempotent = services
             .iter()
             .filter_map(|service| service.kinds.get(&query.kind))
             .all(|kind| kind.idempotent);
-        if !is_idempotent && !has_id {
-            let detail =
-                eco_format!("`{}` is not idempotent: send {REQUEST_ID_HEADER}", query.kind);
+        if !is_idempotent && !has_request_id {
+            let detail = eco_format!(
+                "request kind `{}` is not idempotent; send the header {REQUEST_ID_HEADER}",
+                query.kind
+            );
             return refuse(FailureReason::MissingRequestId, detail);
         }
-        let longest_ms = services.iter().map(|service| service.deadline_ms).max().unwrap_or(0);
+        let max_deadline_ms = services.iter().map(|service| service.deadline_ms).max().unwrap_or(0);
         let deadline_ms = match deadline.map(str::parse::<u64>) {
-            None => longest_ms,
+            None => max_deadline_ms,
             Some(Ok(deadline_ms)) if (1..=MAX_DEADLINE_MS).contains(&deadline_ms) => deadline_ms,
             Some(_) => {
-                let detail = eco_format!("{DEADLINE_HEADER} takes 1 to {MAX_DEADLINE_MS}");
+                let detail = eco_format!(
+                    "{DEADLINE_HEADER} must be a whole number from 1 to {MAX_DEADLINE_MS}"
+                );
                 return refuse(FailureReason::BadRequest, detail);
             }
         };
         if !(0.0..=1.0).contains(&query.min_coverage) {
-            return refuse(FailureReason::BadRequest, "min_coverage takes 0 to 1".into());
+            return refuse(FailureReason::BadRequest, "`min_coverage` must be from 0 to 1".into());
         }
         let deadline_us = deadline_ms * US_PER_MS;
-        let margin_us =
+        let answer_reserve_us =
             MIN_ANSWER_RESERVE_US.max(deadline_us / ANSWER_RESERVE_DIVISOR).min(deadline_us / 2);
         let spec = QuerySpec {
             services: services.iter().map(|service| service.service.clone()).collect(),
             is_idempotent,
             min_coverage: query.min_coverage,
-            soft_deadline_us: self.shared.clock.now_us() + deadline_us - margin_us,
+            soft_deadline_us: self.shared.clock.now_us() + deadline_us - answer_reserve_us,
         };
         let job = QueryJob { request_id, kind: query.kind, body: query.body, spec };
         Ok(ValidatedQuery { job, index })
     }
 }
 
-/// Finds the services of a query; all must be of one index and know the kind.
+/// Returns the services of a query, without duplicates.
+///
+/// All services must be configured, belong to one index and declare the request kind.
 fn find_services<'a>(
     view: &'a View,
     query: &QueryRequest,
@@ -306,15 +318,19 @@
     let mut seen = IndexSet::new();
     for name in query.services.iter().filter(|name| seen.insert(*name)) {
         let Some(service) = view.configuration.services.get(name) else {
-            let detail = eco_format!("service `{name}` is not configured");
+            let detail = eco_format!("service `{name}` is not configured; check its name");
             return Err((FailureReason::UnknownService, detail));
         };
         if !service.kinds.contains_key(&query.kind) {
-            let detail = eco_format!("service `{name}` declares no kind `{}`", query.kind);
+            let detail =
+                eco_format!("service `{name}` does not declare the request kind `{}`", query.kind);
             return Err((FailureReason::UnknownKind, detail));
         }
         if let Some(first) = services.first().filter(|first| first.index != service.index) {
-            let detail = eco_format!("`{}` and `{name}` are of two indexes", first.service);
+            let detail = eco_format!(
+                "services `{}` and `{name}` belong to different indexes; query them separately",
+                first.service
+            );
             return Err((FailureReason::SeveralIndexes, detail));
         }
         services.push(service);
@@ -322,45 +338,50 @@
     Ok(services)
 }
 
-/// An id in the set of running requests, taken out when the request ends or its caller goes away.
+/// Keeps a request id in the set of running requests; dropping the guard removes the id.
 struct ActiveRequestGuard {
     http: Arc<HttpState>,
     id: EcoString,
 }
 
 impl ActiveRequestGuard {
+    /// Returns a guard for an id, or `None` if a request with this id is already running.
     fn try_insert(http: &Arc<HttpState>, id: &EcoString) -> Option<Self> {
-        let mut running = http.active_request_ids.lock().unwrap_or_else(PoisonError::into_inner);
-        let is_new = running.insert(id.clone());
-        drop(running);
+        let mut active_request_ids =
+            http.active_request_ids.lock().unwrap_or_else(PoisonError::into_inner);
+        let is_new = active_request_ids.insert(id.clone());
+        drop(active_request_ids);
         is_new.then(|| Self { http: http.clone(), id: id.clone() })
     }
 }
 
 impl Drop for ActiveRequestGuard {
     fn drop(&mut self) {
-        let mut running =
+        let mut active_request_ids =
             self.http.active_request_ids.lock().unwrap_or_else(PoisonError::into_inner);
-        running.swap_remove(&self.id);
+        active_request_ids.swap_remove(&self.id);
     }
 }
 
-/// The addresses that a caller should use: none that is leaving or out, its own domain's first.
+/// Returns the addresses of the ingress nodes for a caller, those of its own failure domain first.
+///
+/// Only members that are alive and not in a domain that is out of service are included.
 fn ingress_addresses(view: &View, failure_domain: Option<&EcoString>) -> Vec<IngressAddress> {
-    let out = &view.configuration.domains_out;
-    let is_offered = |state: MemberState| matches!(state, MemberState::Alive);
+    let domains_out = &view.configuration.domains_out;
+    let is_alive = |state: MemberState| matches!(state, MemberState::Alive);
     let mut members: Vec<_> = view
         .members
         .values()
-        .filter(|member| is_offered(member.state) && !out.contains(&member.failure_domain))
+        .filter(|member| is_alive(member.state) && !domains_out.contains(&member.failure_domain))
         .collect();
-    // A random order spreads callers; the sort keeps it within each of the two parts.
+    // The random order spreads callers over the nodes. The sort is stable, so the order stays
+    // random within the caller's own domain and among the other domains.
     members.shuffle(&mut rand::rng());
     members.sort_by_key(|member| Some(&member.failure_domain) != failure_domain);
     members.truncate(MAX_ADDRESSES);
-    let entry = |member: &&sassafrasproxy_core::Member| IngressAddress {
+    let to_ingress_address = |member: &&sassafrasproxy_core::Member| IngressAddress {
         address: member.address.clone(),
         failure_domain: member.failure_domain.clone(),
     };
-    members.iter().map(entry).collect()
+    members.iter().map(to_ingress_address).collect()
 }
