--- a/crates/sassafrasproxy-node/src/scheduler_task.rs
+++ b/crates/sassafrasproxy-node/src/scheduler_task.rs
@@ -1,4 +1,4 @@
-//! The task around one lane: timers, sends, status reads and replies.
+//! The task that runs one scheduler: timers, attempts, status reads and replies.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -25,37 +25,37 @@
 /// The time between two status reads of a replica that is down.
 const DOWN_STATUS_INTERVAL: Duration = Duration::from_millis(100);
 
-/// How many such times lie between two status reads of a replica that is not.
+/// One in this many status polls reads all replicas; the others read only those that are down.
 const POLLS_PER_FULL_POLL: u64 = 5;
 
-/// How long a lane that is only a fallback reads statuses after its last sub-request.
+/// How long a scheduler on a node that is not the home reads statuses after its last sub-request.
 const FALLBACK_POLL_DURATION_US: u64 = 5_000_000;
 
-/// How often a hand-over is tried.
+/// The maximum number of times that a hand-over is sent.
 const MAX_HAND_OVER_TRIES: u32 = 3;
 
-/// What a lane's task takes in.
+/// An input of a scheduler's task.
 #[derive(Debug)]
 pub enum SchedulerInput {
-    /// A sub-request came.
+    /// A sub-request arrived.
     Submit { request: SubRequest, deadline_us: u64, reply: oneshot::Sender<SubRequestReply> },
-    /// Nobody waits for a sub-request any more.
+    /// The requester no longer waits for a sub-request.
     Abandon { id: EcoString },
-    /// An event for the reducer as it is.
+    /// An event for the reducer.
     Event(SchedulerEvent),
-    /// A send ended, with the answer's body if it was good.
+    /// An attempt ended; `body` is present if the answer is valid.
     AttemptFinished { attempt: AttemptId, report: AttemptReport, body: Option<Body> },
-    /// The control state changed.
+    /// The control state of the node changed.
     ViewChanged(Arc<View>),
-    /// The node's status is asked for.
+    /// The status of the node's replicas is requested.
     StatusRequested { reply: oneshot::Sender<Vec<ReplicaStatus>> },
-    /// Whether anything is queued or in flight is asked for.
+    /// A node that is shutting down asks whether nothing is queued or in flight.
     IdleCheckRequested { reply: oneshot::Sender<bool> },
-    /// The group is gone.
+    /// The group is no longer configured.
     Stop,
 }
 
-/// Starts the task of a group's lane.
+/// Starts the task of a group's scheduler; returns `None` if the view does not contain the group.
 pub fn start(
     shared: &Arc<Shared>,
     view: Arc<View>,
@@ -83,7 +83,7 @@
     Some(sender)
 }
 
-/// The task around one lane.
+/// The state of the task that runs one scheduler.
 struct SchedulerTask {
     shared: Arc<Shared>,
     group: EcoString,
@@ -92,7 +92,7 @@
     is_home: bool,
     sender: mpsc::UnboundedSender<SchedulerInput>,
     sub_requests: IndexMap<SubRequestId, PendingSubRequest>,
-    /// The key of each sub-request in `subs`, by its id.
+    /// The key in `sub_requests` of each sub-request, by the id in its request.
     sub_request_ids: IndexMap<EcoString, SubRequestId>,
     attempts: IndexMap<AttemptId, RunningAttempt>,
     replica_clients: IndexMap<EcoString, ReplicaClient>,
@@ -108,7 +108,7 @@
     reply: oneshot::Sender<SubRequestReply>,
 }
 
-/// A send that holds a slot.
+/// An attempt that uses a slot.
 struct RunningAttempt {
     id: EcoString,
     replica: EcoString,
@@ -116,7 +116,7 @@
 }
 
 impl SchedulerTask {
-    /// Takes inputs in until the group is gone.
+    /// Handles inputs and timers until the group is no longer configured.
     async fn run(mut self, mut inputs: mpsc::UnboundedReceiver<SchedulerInput>) {
         let mut poll = tokio::time::interval(DOWN_STATUS_INTERVAL);
         poll.set_missed_tick_behavior(MissedTickBehavior::Delay);
@@ -172,7 +172,7 @@
         }
     }
 
-    /// Gives the reducer a sub-request under a key of its own.
+    /// Passes a sub-request to the reducer under a new key.
     fn submit(
         &mut self,
         request: SubRequest,
@@ -184,7 +184,7 @@
         let view = self.shared.view.load();
         let service = view.configuration.services.get(&request.shard.service);
         let kind = service.and_then(|service| service.kinds.get(&request.kind));
-        let sub = SubRequestSpec {
+        let sub_request = SubRequestSpec {
             id: key,
             shard: request.shard.shard.clone(),
             snapshot: request.snapshot,
@@ -197,10 +197,10 @@
         self.last_submit_us = self.shared.clock.now_us();
         self.sub_request_ids.insert(request.id.clone(), key);
         self.sub_requests.insert(key, PendingSubRequest { request, deadline_us, reply });
-        self.step(SchedulerEvent::Submit(sub), None);
+        self.step(SchedulerEvent::Submit(sub_request), None);
     }
 
-    /// Takes a changed view in.
+    /// Applies a changed view: reconfigures the scheduler and gains or loses the home role.
     fn apply_view(&mut self, view: &View) {
         let Some(configuration) = scheduler_configuration(&self.shared, view, &self.group) else {
             return;
@@ -232,7 +232,7 @@
         }
     }
 
-    /// Reads the status of every replica, while this lane is in use.
+    /// Reads the statuses of the replicas that are due, while this scheduler is in use.
     fn poll_statuses(&mut self) {
         let now_us = self.shared.clock.now_us();
         if !self.is_home && now_us > self.last_submit_us + FALLBACK_POLL_DURATION_US {
@@ -244,27 +244,27 @@
         let replicas = self.scheduler.replica_statuses().into_iter().filter(is_due);
         let addresses: Vec<EcoString> = replicas.map(|replica| replica.address).collect();
         for address in addresses {
-            let upstream = self.replica_client(&address).clone();
-            self.spawn_status_read(address, None, async move { upstream.status().await });
+            let client = self.replica_client(&address).clone();
+            self.spawn_status_read(address, None, async move { client.status().await });
         }
     }
 
-    /// Reports a status when it is read.
+    /// Reads a replica's status in a separate task and reports the result to the reducer.
     fn spawn_status_read(
         &self,
         replica: EcoString,
-        probe: Option<u64>,
+        probe_id: Option<u64>,
         read: impl Future<Output = StatusReport> + Send + 'static,
     ) {
         let sender = self.sender.clone();
         tokio::spawn(async move {
             let report = read.await;
-            let event = SchedulerEvent::Status { replica, probe_id: probe, report };
+            let event = SchedulerEvent::Status { replica, probe_id, report };
             let _ = sender.send(SchedulerInput::Event(event));
         });
     }
 
-    /// Steps the reducer and carries its effects out; `body` belongs to a send that just ended.
+    /// Steps the reducer and performs its effects; `body` belongs to an attempt that just ended.
     fn step(&mut self, event: SchedulerEvent, body: Option<Body>) {
         let now_us = self.shared.clock.now_us();
         let effects = self.scheduler.step(now_us, event);
@@ -281,31 +281,31 @@
 
     fn perform_effect(&mut self, effect: SchedulerEffect, body: &mut Option<Body>) {
         match effect {
-            SchedulerEffect::Send { attempt, sub_request: sub, replica } => {
-                self.send_attempt(attempt, sub, replica);
+            SchedulerEffect::Send { attempt, sub_request, replica } => {
+                self.send_attempt(attempt, sub_request, replica);
             }
             SchedulerEffect::Cancel { attempt } => self.cancel_attempt(attempt),
-            SchedulerEffect::Reply { sub_request: sub, outcome, attempt } => {
+            SchedulerEffect::Reply { sub_request, outcome, attempt } => {
                 let body = if attempt.is_some() { body.take() } else { None };
-                self.reply(sub, outcome, body);
+                self.reply(sub_request, outcome, body);
             }
             SchedulerEffect::RetireConnections { replica } => {
                 self.replica_client(&replica).retire_connections();
             }
-            SchedulerEffect::Probe { replica, probe_id: number } => {
-                let upstream = self.replica_client(&replica).clone();
+            SchedulerEffect::Probe { replica, probe_id } => {
+                let client = self.replica_client(&replica).clone();
                 self.spawn_status_read(
                     replica,
-                    Some(number),
-                    async move { upstream.probe().await },
+                    Some(probe_id),
+                    async move { client.probe().await },
                 );
             }
             SchedulerEffect::AnnounceQuarantine { fingerprint, ttl_us } => {
                 self.announce_quarantine(fingerprint, ttl_us);
             }
-            SchedulerEffect::SendHandOver(given) => self.send_hand_over(given),
+            SchedulerEffect::SendHandOver(hand_over) => self.send_hand_over(hand_over),
             SchedulerEffect::PublishHoldings => {}
-            SchedulerEffect::RecordEvent { sub_request: sub, kind } => {
+            SchedulerEffect::RecordEvent { sub_request, kind } => {
                 match &kind {
                     TimelineEventKind::Hedged { .. } => {
                         self.shared.metrics.count_extra_attempt("hedge");
@@ -315,17 +315,18 @@
                     }
                     _ => {}
                 }
-                let pending = sub.and_then(|sub| self.sub_requests.get(&sub));
+                let pending =
+                    sub_request.and_then(|sub_request| self.sub_requests.get(&sub_request));
                 let request_id = pending.map(|pending| pending.request.request_id.clone());
                 self.shared.events.record(request_id, kind);
             }
         }
     }
 
-    /// Sends a sub-request in a task of its own.
-    fn send_attempt(&mut self, attempt: AttemptId, sub: SubRequestId, replica: EcoString) {
-        let upstream = self.replica_client(&replica).clone();
-        let Some(pending) = self.sub_requests.get(&sub) else {
+    /// Sends a sub-request to a replica in a separate task.
+    fn send_attempt(&mut self, attempt: AttemptId, sub_request: SubRequestId, replica: EcoString) {
+        let client = self.replica_client(&replica).clone();
+        let Some(pending) = self.sub_requests.get(&sub_request) else {
             let report = AttemptResult::NotSent.into();
             let _ =
                 self.sender.send(SchedulerInput::AttemptFinished { attempt, report, body: None });
@@ -346,53 +347,56 @@
         self.shared.metrics.count_upstream_send();
         let clock = self.shared.clock;
         let sender = self.sender.clone();
-        let task = tokio::spawn(async move {
-            let (report, body) = upstream.send(&clock, &request).await;
+        let handle = tokio::spawn(async move {
+            let (report, body) = client.send(&clock, &request).await;
             let _ = sender.send(SchedulerInput::AttemptFinished { attempt, report, body });
         });
         self.attempts
-            .insert(attempt, RunningAttempt { id, replica, abort_handle: task.abort_handle() });
+            .insert(attempt, RunningAttempt { id, replica, abort_handle: handle.abort_handle() });
     }
 
-    /// Tells a replica to stop a send, and frees its slot once that is confirmed.
+    /// Tells a replica to cancel an attempt, and frees its slot once the replica confirms.
     fn cancel_attempt(&mut self, attempt: AttemptId) {
         let Some(running) = self.attempts.get(&attempt) else { return };
-        let (id, abort) = (running.id.clone(), running.abort_handle.clone());
+        let (id, abort_handle) = (running.id.clone(), running.abort_handle.clone());
         let replica = running.replica.clone();
-        let upstream = self.replica_client(&replica).clone();
+        let client = self.replica_client(&replica).clone();
         let sender = self.sender.clone();
         tokio::spawn(async move {
-            // Without a confirmation the send's own end, at its deadline, frees the slot.
-            if upstream.cancel(&id).await {
-                abort.abort();
+            // Without a confirmation, the slot is freed when the attempt ends at its deadline.
+            if client.cancel(&id).await {
+                abort_handle.abort();
                 let _ = sender.send(SchedulerInput::Event(SchedulerEvent::Cancelled { attempt }));
             }
         });
     }
 
-    /// Answers a sub-request; corrects the asker's picture where that was the trouble.
-    fn reply(&mut self, sub: SubRequestId, outcome: SubRequestOutcome, body: Option<Body>) {
-        let Some(pending) = self.sub_requests.swap_remove(&sub) else { return };
+    /// Replies to a sub-request.
+    ///
+    /// If the snapshot is not held or no replica is available, a home adds the group's holdings, so
+    /// that the requester corrects its outdated view.
+    fn reply(&mut self, sub_request: SubRequestId, outcome: SubRequestOutcome, body: Option<Body>) {
+        let Some(pending) = self.sub_requests.swap_remove(&sub_request) else { return };
         self.sub_request_ids.swap_remove(&pending.request.id);
-        let is_old = matches!(
+        let is_view_outdated = matches!(
             outcome,
             SubRequestOutcome::NotRun {
                 reason: FailureReason::NotHeld | FailureReason::NoReplica,
                 ..
             }
         );
-        let holdings =
-            (is_old && self.is_home && self.scheduler.has_all_statuses()).then(|| self.holdings());
+        let holdings = (is_view_outdated && self.is_home && self.scheduler.has_all_statuses())
+            .then(|| self.holdings());
         let _ = pending.reply.send(SubRequestReply { outcome, holdings, body });
     }
 
-    /// What the group can serve now.
+    /// Returns the group's current holdings.
     fn holdings(&self) -> GroupHoldings {
-        let me = self.shared.settings.name.clone();
-        self.scheduler.holdings(me, self.shared.events.next_hlc())
+        let local_node = self.shared.settings.name.clone();
+        self.scheduler.holdings(local_node, self.shared.events.next_hlc())
     }
 
-    /// Tells the other lanes and nodes that a request crashes upstreams.
+    /// Tells this node's schedulers and all peers that a request crashes upstreams.
     fn announce_quarantine(&self, fingerprint: u64, ttl_us: u64) {
         self.shared.schedulers.broadcast(&SchedulerEvent::Quarantine { fingerprint, ttl_us });
         let notice = QuarantineNotice { fingerprint, ttl_ms: ttl_us / US_PER_MS };
@@ -406,36 +410,39 @@
         }
     }
 
-    /// Hands the group to its new home, which starts narrow if that fails.
-    fn send_hand_over(&self, given: HandOver) {
+    /// Hands the group's state over to its new home.
+    ///
+    /// Without the hand-over, the new home starts with a concurrency limit of 1 per replica.
+    fn send_hand_over(&self, hand_over: HandOver) {
         let shared = self.shared.clone();
         tokio::spawn(async move {
             for _ in 0..MAX_HAND_OVER_TRIES {
                 let view = shared.view.load_full();
-                let home = view.home(&given.group).filter(|home| **home != view.local_node);
+                let home = view.home(&hand_over.group).filter(|home| **home != view.local_node);
                 let Some(address) = home.and_then(|home| shared.peer_address(home)) else { return };
-                if shared.peer_client.send_hand_over(&address, &given).await.is_ok() {
+                if shared.peer_client.send_hand_over(&address, &hand_over).await.is_ok() {
                     return;
                 }
             }
         });
     }
 
-    /// The connections to a replica.
+    /// Returns the client of a replica; creates it at its first use.
     fn replica_client(&mut self, address: &EcoString) -> &mut ReplicaClient {
-        let connections = self.configuration.policy.slots as usize;
+        let max_idle_connections = self.configuration.policy.slots as usize;
         self.replica_clients
             .entry(address.clone())
-            .or_insert_with(|| ReplicaClient::new(address, connections))
+            .or_insert_with(|| ReplicaClient::new(address, max_idle_connections))
     }
 
-    /// The group's name in a form that fits a path.
+    /// Returns the group's name with `.` in place of `/`, so that it fits into one path segment.
     fn group_path_segment(&self) -> EcoString {
         self.group.replace("/", ".")
     }
 }
 
-/// What a group's lane serves, by the view.
+/// Returns the configuration of a group's scheduler, or `None` if the view does not contain the
+/// group.
 fn scheduler_configuration(
     shared: &Shared,
     view: &View,
@@ -447,7 +454,7 @@
         failure_domain: replica.failure_domain.clone(),
         shards: replica.shards.iter().cloned().collect(),
     });
-    let is_ours =
+    let is_in_group =
         |address: &&EcoString| group.replicas.iter().any(|replica| replica.address == **address);
     Some(SchedulerConfiguration {
         group: group.name.clone(),
@@ -458,11 +465,11 @@
             ..SchedulerPolicy::new(group.limits.slots, group.limits.queue)
         },
         domains_out: view.configuration.domains_out.clone(),
-        leaving_upstreams: view.leaving_upstreams.iter().filter(is_ours).cloned().collect(),
+        leaving_upstreams: view.leaving_upstreams.iter().filter(is_in_group).cloned().collect(),
     })
 }
 
-/// A hash of kind and body, the same for every repeat of a request.
+/// Returns a hash of kind and body, the same for every repetition of a request.
 fn fingerprint(request: &SubRequest) -> u64 {
     let mut hash = Xxh3::new();
     hash.update(request.kind.as_bytes());
--- a/crates/sassafrasproxy-node/src/schedulers.rs
+++ b/crates/sassafrasproxy-node/src/schedulers.rs
@@ -1,4 +1,4 @@
-//! The lanes of a node, one task for each replica group that it serves.
+//! Runs the schedulers of a node, one task per replica group that it serves.
 
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
@@ -17,20 +17,21 @@
 use crate::scheduler_task::{self, SchedulerInput};
 use crate::shared::Shared;
 
-/// When to come back after a refusal that no lane made, in milliseconds.
+/// The retry delay of a refusal that does not come from a scheduler, in milliseconds.
 const RETRY_AFTER_MS: u64 = 200;
 
-/// The running lanes by group.
+/// The tasks of the running schedulers, by replica group.
 #[derive(Debug, Default)]
 pub struct Schedulers {
     senders: Mutex<IndexMap<EcoString, mpsc::UnboundedSender<SchedulerInput>>>,
 }
 
 impl Schedulers {
-    /// Runs a sub-request, here or at the group's home.
+    /// Runs a sub-request on this node or at the group's home.
     ///
-    /// A node that is the home no more passes what still comes in on, once; so that a home that
-    /// moves refuses nothing, however late its entries hear of it.
+    /// A node that is no longer the home forwards a sub-request to the new home. So a home that
+    /// moves causes no refusals, even if ingress nodes learn of the move late. A sub-request is
+    /// forwarded at most once.
     pub async fn run_sub_request(
         &self,
         shared: &Arc<Shared>,
@@ -58,69 +59,73 @@
         reply
     }
 
-    /// Gives up on a sub-request.
+    /// Abandons a sub-request, whose requester no longer waits for it.
     pub fn abandon(&self, shared: &Shared, cancel: &CancelRequest) {
         let view = shared.view.load();
         let Some(group) = view.groups.group_of(&cancel.shard) else { return };
-        if let Some(lane) = self.lock().get(&group.name) {
-            let _ = lane.send(SchedulerInput::Abandon { id: cancel.id.clone() });
+        if let Some(scheduler) = self.lock().get(&group.name) {
+            let _ = scheduler.send(SchedulerInput::Abandon { id: cancel.id.clone() });
         }
     }
 
-    /// Takes a group's state over from its old home.
-    pub fn apply_hand_over(&self, given: HandOver) {
-        if let Some(lane) = self.lock().get(&given.group) {
-            let _ = lane.send(SchedulerInput::Event(SchedulerEvent::HandOverReceived(given)));
+    /// Passes the state that a group's old home handed over to the group's scheduler.
+    pub fn apply_hand_over(&self, hand_over: HandOver) {
+        if let Some(scheduler) = self.lock().get(&hand_over.group) {
+            let _ =
+                scheduler.send(SchedulerInput::Event(SchedulerEvent::HandOverReceived(hand_over)));
         }
     }
 
-    /// Gives every lane an event.
+    /// Sends an event to every scheduler.
     pub fn broadcast(&self, event: &SchedulerEvent) {
-        for lane in self.lock().values() {
-            let _ = lane.send(SchedulerInput::Event(event.clone()));
+        for scheduler in self.lock().values() {
+            let _ = scheduler.send(SchedulerInput::Event(event.clone()));
         }
     }
 
-    /// Gives every lane the changed view; starts and ends lanes as the view wants.
+    /// Sends a changed view to every scheduler.
+    ///
+    /// Starts the schedulers of groups whose home is this node, and stops those of groups that are
+    /// no longer configured.
     pub fn apply_view(&self, shared: &Arc<Shared>, view: &Arc<View>) {
-        let mut running = self.lock();
-        running.retain(|group, lane| {
-            let stays = view.groups.group(group).is_some();
-            let input = if stays {
+        let mut schedulers = self.lock();
+        schedulers.retain(|group, scheduler| {
+            let is_configured = view.groups.group(group).is_some();
+            let input = if is_configured {
                 SchedulerInput::ViewChanged(view.clone())
             } else {
                 SchedulerInput::Stop
             };
-            lane.send(input).is_ok() && stays
+            scheduler.send(input).is_ok() && is_configured
         });
-        let missing = view.groups.groups().filter(|group| view.is_home(&group.name));
-        for group in missing {
-            if !running.contains_key(&group.name)
-                && let Some(lane) = scheduler_task::start(shared, view.clone(), &group.name)
+        let home_groups = view.groups.groups().filter(|group| view.is_home(&group.name));
+        for group in home_groups {
+            if !schedulers.contains_key(&group.name)
+                && let Some(scheduler) = scheduler_task::start(shared, view.clone(), &group.name)
             {
-                running.insert(group.name.clone(), lane);
+                schedulers.insert(group.name.clone(), scheduler);
             }
         }
     }
 
-    /// The replicas of all lanes.
+    /// Returns the statuses of the replicas of all groups whose home is this node.
     pub async fn replica_statuses(&self) -> Vec<ReplicaStatus> {
-        let lanes: Vec<_> = self.lock().values().cloned().collect();
-        let mut all = Vec::new();
-        for lane in lanes {
+        let schedulers: Vec<_> = self.lock().values().cloned().collect();
+        let mut statuses = Vec::new();
+        for scheduler in schedulers {
             let (reply, answer) = oneshot::channel();
-            let _ = lane.send(SchedulerInput::StatusRequested { reply });
-            all.extend(answer.await.unwrap_or_default());
+            let _ = scheduler.send(SchedulerInput::StatusRequested { reply });
+            statuses.extend(answer.await.unwrap_or_default());
         }
-        all
+        statuses
     }
 
-    /// Whether no lane has anything queued or in flight.
+    /// Returns whether nothing is queued or in flight in any scheduler.
     pub async fn are_idle(&self) -> bool {
-        let lanes: Vec<_> = self.lock().values().cloned().collect();
-        for lane in lanes {
+        let schedulers: Vec<_> = self.lock().values().cloned().collect();
+        for scheduler in schedulers {
             let (reply, answer) = oneshot::channel();
-            let _ = lane.send(SchedulerInput::IdleCheckRequested { reply });
+            let _ = scheduler.send(SchedulerInput::IdleCheckRequested { reply });
             if !answer.await.unwrap_or(true) {
                 return false;
             }
@@ -128,7 +133,7 @@
         true
     }
 
-    /// Runs a sub-request in this node's own lane of the group.
+    /// Runs a sub-request in this node's own scheduler of the group.
     async fn run_locally(
         &self,
         shared: &Arc<Shared>,
@@ -136,18 +141,18 @@
         request: SubRequest,
         deadline_us: u64,
     ) -> SubRequestReply {
-        let Some(lane) = self.scheduler_sender(shared, group) else {
+        let Some(scheduler) = self.scheduler_sender(shared, group) else {
             return not_run_reply(FailureReason::NoReplica);
         };
         let (reply, answer) = oneshot::channel();
-        let mut guard = AbandonGuard { scheduler: &lane, id: Some(request.id.clone()) };
-        let _ = lane.send(SchedulerInput::Submit { request, deadline_us, reply });
+        let mut guard = AbandonGuard { scheduler: &scheduler, id: Some(request.id.clone()) };
+        let _ = scheduler.send(SchedulerInput::Submit { request, deadline_us, reply });
         let answer = answer.await;
         guard.id = None;
         answer.unwrap_or_else(|_| not_run_reply(FailureReason::CallerGone))
     }
 
-    /// Passes a sub-request on to the group's home.
+    /// Forwards a sub-request to the group's home.
     async fn forward_to_home(
         &self,
         shared: &Arc<Shared>,
@@ -173,21 +178,21 @@
         }
     }
 
-    /// The lane of a group, started now if it does not run.
+    /// Returns the sender to a group's scheduler; starts the scheduler if it is not running.
     fn scheduler_sender(
         &self,
         shared: &Arc<Shared>,
         group: &EcoString,
     ) -> Option<mpsc::UnboundedSender<SchedulerInput>> {
-        let mut running = self.lock();
-        if let Some(lane) = running.get(group)
-            && !lane.is_closed()
+        let mut schedulers = self.lock();
+        if let Some(scheduler) = schedulers.get(group)
+            && !scheduler.is_closed()
         {
-            return Some(lane.clone());
+            return Some(scheduler.clone());
         }
-        let lane = scheduler_task::start(shared, shared.view.load_full(), group)?;
-        running.insert(group.clone(), lane.clone());
-        Some(lane)
+        let scheduler = scheduler_task::start(shared, shared.view.load_full(), group)?;
+        schedulers.insert(group.clone(), scheduler.clone());
+        Some(scheduler)
     }
 
     fn lock(&self) -> MutexGuard<'_, IndexMap<EcoString, mpsc::UnboundedSender<SchedulerInput>>> {
@@ -195,7 +200,7 @@
     }
 }
 
-/// Gives up on a sub-request when the one who asks goes away before the answer.
+/// Abandons a sub-request when its requester is dropped before the reply arrives.
 struct AbandonGuard<'a> {
     scheduler: &'a mpsc::UnboundedSender<SchedulerInput>,
     id: Option<EcoString>,
@@ -209,7 +214,7 @@
     }
 }
 
-/// The answer of a node that cannot reach the home either.
+/// Returns the reply of a node that is not the home and cannot forward the sub-request.
 fn not_home_reply(may_have_run: bool) -> SubRequestReply {
     SubRequestReply {
         outcome: SubRequestOutcome::NotHome { may_have_run },
@@ -218,7 +223,7 @@
     }
 }
 
-/// A refusal that no lane made.
+/// Returns a refusal that does not come from a scheduler.
 fn not_run_reply(reason: FailureReason) -> SubRequestReply {
     let outcome = SubRequestOutcome::NotRun { reason, retry_after_ms: RETRY_AFTER_MS };
     SubRequestReply { outcome, holdings: None, body: None }
