--- a/crates/sassafrasproxy-node/src/lib.rs
+++ b/crates/sassafrasproxy-node/src/lib.rs
@@ -1,4 +1,5 @@
-//! The shells of a node: they turn effects into I/O and I/O into events, and decide nothing.
+//! The I/O of a node: performs the effects of the reducers and reports the results as events.
+//! All decisions are made by the reducers.
 
 mod caller_connections;
 mod claim_buckets;
--- a/crates/sassafrasproxy-node/src/metrics.rs
+++ b/crates/sassafrasproxy-node/src/metrics.rs
@@ -1,4 +1,4 @@
-//! Counters and timers, sent to a statsd server if the settings name one.
+//! Records metrics and sends them to a statsd server if the settings name one.
 
 use std::net::{SocketAddr, UdpSocket};
 
@@ -6,7 +6,7 @@
 use cadence::{BufferedUdpMetricSink, NopMetricSink, QueuingMetricSink, StatsdClient};
 use sassafrasproxy_wire::{FailureReason, Outcome};
 
-/// The prefix of every metric.
+/// The prefix of every metric's name.
 const METRIC_PREFIX: &str = "sassafrasproxy";
 
 /// The node's metrics; docs/OPERATIONS.md lists them by name and unit.
@@ -16,7 +16,7 @@
 }
 
 impl Metrics {
-    /// Metrics that go to a statsd server, or nowhere.
+    /// Creates metrics that are sent to a statsd server, or discarded without one.
     pub fn new(statsd: Option<SocketAddr>, node: &str) -> std::io::Result<Self> {
         let builder = match statsd {
             None => StatsdClient::builder(METRIC_PREFIX, NopMetricSink),
@@ -31,7 +31,7 @@
         Ok(Self { client: builder.with_tag("node", node).build() })
     }
 
-    /// Counts a query that ended.
+    /// Records the end of a query: outcome, duration, coverage and the reason of a refusal.
     pub fn record_query_end(
         &self,
         outcome: Outcome,
@@ -54,17 +54,17 @@
         }
     }
 
-    /// Counts a sub-request that this node as entry asked for.
+    /// Counts a sub-request that this node requests as ingress node.
     pub fn count_sub_request(&self) {
         self.client.count_with_tags("sub_requests", 1).send();
     }
 
-    /// Counts a send to an upstream.
+    /// Counts an attempt that is sent to an upstream.
     pub fn count_upstream_send(&self) {
         self.client.count_with_tags("upstream_sends", 1).send();
     }
 
-    /// Counts a hedge or a retry.
+    /// Counts an extra attempt; `cause` is `hedge` or `retry`.
     pub fn count_extra_attempt(&self, cause: &'static str) {
         self.client.count_with_tags("extra_sub_requests", 1).with_tag("cause", cause).send();
     }
--- a/crates/sassafrasproxy-node/src/node.rs
+++ b/crates/sassafrasproxy-node/src/node.rs
@@ -1,4 +1,4 @@
-//! One node, from its settings to its end.
+//! Starts, runs and shuts down one node.
 
 use std::net::{SocketAddr, TcpListener};
 use std::sync::Arc;
@@ -28,51 +28,52 @@
 use crate::schedulers::Schedulers;
 use crate::shared::Shared;
 
-/// Hedges and retries as a fraction of the base load.
+/// The default budget of hedges and retries, as a fraction of the base load.
 const DEFAULT_BUDGET_FRACTION: f64 = 0.05;
 
-/// How often a node that is leaving looks whether its work has drained.
+/// The interval at which a node that is shutting down checks whether its work has drained.
 const DRAIN_CHECK_INTERVAL: Duration = Duration::from_millis(50);
 
-/// How long a node that is leaving waits for work to drain after callers must have moved on.
+/// How long a node that is shutting down waits for its work to drain, counted from when callers no
+/// longer use its address.
 const DRAIN_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Why a node could not start.
+/// The reason why a node could not start.
 #[derive(Debug, Error)]
 pub enum StartError {
     /// A socket could not be bound.
-    #[error("cannot listen on {address}: {error}; choose a free address")]
+    #[error("cannot listen on {address}: {error}; use a free address of this VM")]
     Listen {
         /// The address.
         address: SocketAddr,
-        /// What the system says.
+        /// The error of the operating system.
         error: std::io::Error,
     },
     /// The peer server could not be started.
-    #[error("cannot serve peers: {detail}")]
+    #[error("cannot start the server for peers: {detail}")]
     PeerServer {
-        /// What the library says.
+        /// The error of the RPC library.
         detail: EcoString,
     },
-    /// The metrics socket could not be made.
-    #[error("cannot send metrics: {0}; check `statsd`")]
+    /// The metrics socket could not be created.
+    #[error("cannot open the metrics socket: {0}; check the setting `statsd`")]
     Metrics(std::io::Error),
-    /// The client of the platform could not be made.
-    #[error("cannot make a client of the platform: {0}")]
+    /// The client of the platform could not be created.
+    #[error("cannot create the client of the platform: {0}")]
     Platform(#[from] reqwest::Error),
     /// The control thread could not be started.
     #[error("cannot start the control thread: {0}")]
     ControlThread(std::io::Error),
 }
 
-/// What measurements vary; a shipped node runs with the defaults.
+/// Parameters that only measurements vary; a node in production runs with the defaults.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Tuning {
-    /// Times and counts of the control reducer.
+    /// Intervals, timeouts and counts of the control reducer.
     pub control: ControlPolicy,
-    /// Hedges and retries as a fraction of the base load, 0 to 1.
+    /// The budget of hedges and retries as a fraction of the base load, 0 to 1.
     pub budget_fraction: f64,
-    /// Times of the buckets of claims.
+    /// Intervals, timeouts and sizes of the claim buckets.
     pub claims: ClaimPolicy,
 }
 
@@ -86,7 +87,7 @@
     }
 }
 
-/// A node that runs.
+/// A running node.
 pub struct Node {
     shared: Arc<Shared>,
     address: SocketAddr,
@@ -104,8 +105,8 @@
         let platform = PlatformClient::new(settings.platform.clone())?;
         let metrics = Metrics::new(settings.statsd, &settings.name).map_err(StartError::Metrics)?;
         let clock = Clock::start();
-        let (control, inputs) = mpsc::unbounded_channel();
-        let me = MemberUpdate {
+        let (control_sender, inputs) = mpsc::unbounded_channel();
+        let member = MemberUpdate {
             node: settings.name.clone(),
             peer_address: format_address(settings.peer_advertise.unwrap_or(peer_address)),
             address: format_address(settings.advertise.unwrap_or(address)),
@@ -113,11 +114,12 @@
             relay_address: EcoString::new(),
             cpu_millis: 0,
             state: MemberState::Alive,
-            // The wall time overrules what members remember of an earlier life of this name.
+            // The wall time is above the incarnation of any earlier run under this name, so it
+            // overrides what members remember of that run.
             incarnation: unix_time_ms(),
         };
-        let reducer = ControlPlane::new(
-            &me,
+        let control_plane = ControlPlane::new(
+            &member,
             settings.seeds.iter().cloned(),
             tuning.control,
             rand::random(),
@@ -125,14 +127,14 @@
         );
         let shared = Arc::new(Shared {
             clock,
-            view: ArcSwap::from_pointee(reducer.view()),
+            view: ArcSwap::from_pointee(control_plane.view()),
             events: EventLog::new(settings.name.clone(), settings.failure_domain.clone()),
             metrics,
             peer_client: PeerClient::new(clock),
             schedulers: Schedulers::default(),
             claim_buckets: ClaimBuckets::default(),
             platform: platform.clone(),
-            control_sender: control,
+            control_sender,
             instance_id: eco_format!("{}-{:x}", settings.name, unix_time_ms()),
             settings,
             tuning,
@@ -140,42 +142,42 @@
         let (_, peer_server) =
             peer_server::serve(peer_listener, &Handle::current(), shared.clone())
                 .map_err(|error| StartError::PeerServer { detail: eco_format!("{error}") })?;
-        ControlThread::start(reducer, shared.clone(), platform, inputs)
+        ControlThread::start(control_plane, shared.clone(), platform, inputs)
             .map_err(StartError::ControlThread)?;
         let stop_http = serve_http(listener, shared.clone());
         shared.events.record(None, TimelineEventKind::NodeStarted);
         Ok(Self { shared, address, peer_address, peer_server, stop_http })
     }
 
-    /// Where callers connect, as bound.
+    /// Returns the bound address to which callers connect.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Where peers connect, as bound.
+    /// Returns the bound address to which peers connect.
     pub fn peer_address(&self) -> SocketAddr {
         self.peer_address
     }
 
-    /// Shuts down gracefully: announces it, hands over, serves until callers have moved on and
-    /// work has drained, and ends.
+    /// Shuts down gracefully: announces the shutdown, hands over its homes, serves until callers no
+    /// longer use its address and work has drained, and stops.
     pub async fn shut_down(self) {
         self.shared.send_control_event(ControlEvent::Shutdown);
-        let keep = Duration::from_millis(self.shared.settings.address_keep_ms);
-        tokio::time::sleep(keep).await;
-        let drained = async {
+        let address_keep_time = Duration::from_millis(self.shared.settings.address_keep_ms);
+        tokio::time::sleep(address_keep_time).await;
+        let drain = async {
             while !self.shared.schedulers.are_idle().await {
                 tokio::time::sleep(DRAIN_CHECK_INTERVAL).await;
             }
         };
-        let _ = tokio::time::timeout(DRAIN_TIMEOUT, drained).await;
+        let _ = tokio::time::timeout(DRAIN_TIMEOUT, drain).await;
         self.shared.events.record(None, TimelineEventKind::NodeStopped);
         self.stop();
-        // The HTTP server finishes the answers that it is sending.
+        // Leaves the HTTP server time to finish the answers that it is sending.
         tokio::time::sleep(DRAIN_CHECK_INTERVAL).await;
     }
 
-    /// Ends at once.
+    /// Stops at once, without a drain.
     pub fn stop(&self) {
         self.stop_http.send_replace(true);
         let _ = self.peer_server.stop();
@@ -183,12 +185,12 @@
     }
 }
 
-/// Serves callers until told to stop.
+/// Serves callers until `true` is sent on the returned channel.
 fn serve_http(listener: TcpListener, shared: Arc<Shared>) -> watch::Sender<bool> {
     let (stop, mut stopped) = watch::channel(false);
     tokio::spawn(async move {
-        let callers = CallerConnections::default();
-        let acceptor = match CallerAcceptor::new(listener, callers.clone()) {
+        let caller_connections = CallerConnections::default();
+        let acceptor = match CallerAcceptor::new(listener, caller_connections.clone()) {
             Ok(acceptor) => acceptor,
             Err(error) => return log::error!("cannot serve callers: {error}"),
         };
@@ -196,7 +198,7 @@
             let _ = stopped.wait_for(|is_stopped| *is_stopped).await;
         };
         let server = Server::new_with_acceptor(acceptor);
-        let routes = http::routes(shared, callers);
+        let routes = http::routes(shared, caller_connections);
         if let Err(error) = server.run_with_graceful_shutdown(routes, signal, None).await {
             log::error!("serving callers ended: {error}");
         }
@@ -206,13 +208,13 @@
 
 /// Binds a socket for an asynchronous server.
 fn bind(address: SocketAddr) -> Result<TcpListener, StartError> {
-    let listen = |error| StartError::Listen { address, error };
-    let listener = TcpListener::bind(address).map_err(listen)?;
-    listener.set_nonblocking(true).map_err(listen)?;
+    let to_listen_error = |error| StartError::Listen { address, error };
+    let listener = TcpListener::bind(address).map_err(to_listen_error)?;
+    listener.set_nonblocking(true).map_err(to_listen_error)?;
     Ok(listener)
 }
 
-/// The address that a socket is bound to.
+/// Returns the address that a socket is bound to.
 fn local_address(listener: &TcpListener) -> SocketAddr {
     listener.local_addr().expect("a bound socket has an address")
 }
