--- a/crates/sassafrasproxy-node/src/publish.rs
+++ b/crates/sassafrasproxy-node/src/publish.rs
@@ -1,4 +1,4 @@
-//! Publishing and reading configurations over the platform's store.
+//! Publishes configurations to the platform's key-value store and reads them from it.
 
 use std::time::Duration;
 
@@ -13,41 +13,43 @@
 
 use crate::{PlatformClient, PlatformError};
 
-/// The pause after a call that failed, doubled each time.
+/// The backoff after the first failed call; it doubles with each further failure.
 const MIN_BACKOFF: Duration = Duration::from_millis(100);
 
-/// The longest pause after a call that failed.
+/// The maximum backoff after a failed call.
 const MAX_BACKOFF: Duration = Duration::from_secs(2);
 
-/// Publishes a change; `show` is told what changes before anything is written.
+/// Publishes a configuration; `show_changes` is called with the changes before anything is written.
 pub async fn publish(
     platform: &PlatformClient,
-    change: PublishRequest,
+    request: PublishRequest,
     published_by: EcoString,
-    mut show: impl FnMut(&[ConfigurationChange]),
+    mut show_changes: impl FnMut(&[ConfigurationChange]),
 ) -> PublishOutcome {
     let publish_id = ecow::eco_format!("{:032x}", rand::rng().random::<u128>());
-    let mut publish = Publisher::new(change, publish_id, published_by);
+    let mut publisher = Publisher::new(request, publish_id, published_by);
     let mut event = PublishEvent::Start;
-    let mut pause = MIN_BACKOFF;
+    let mut backoff = MIN_BACKOFF;
     loop {
-        let step = publish.step(event);
+        let step = publisher.step(event);
         event = match step {
-            PublishStep::Finish(end) => return end,
+            PublishStep::Finish(outcome) => return outcome,
             PublishStep::ShowChanges(changes) => {
-                show(&changes);
+                show_changes(&changes);
                 PublishEvent::ChangesShown
             }
             step => execute_step(platform, step).await,
         };
         if event == PublishEvent::Unknown {
-            tokio::time::sleep(pause.mul_f64(rand::rng().random_range(0.5..1.0))).await;
-            pause = (pause * 2).min(MAX_BACKOFF);
+            tokio::time::sleep(backoff.mul_f64(rand::rng().random_range(0.5..1.0))).await;
+            backoff = (backoff * 2).min(MAX_BACKOFF);
         }
     }
 }
 
-/// Reads the head and the chunks that are not in `have`.
+/// Reads the head and its chunks; takes the texts of chunks in `have` from there.
+///
+/// Returns `None` if the store has no configuration. Chunks that are not in the store are left out.
 pub async fn read_configuration(
     platform: &PlatformClient,
     have: &IndexMap<EcoString, EcoString>,
@@ -68,18 +70,18 @@
     Ok(Some((head, chunks)))
 }
 
-/// Why the store's configuration could not be read.
+/// The reason why the store's configuration could not be read.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum ReadConfigurationError {
-    /// The platform failed.
+    /// A call to the platform failed.
     #[error(transparent)]
     Platform(#[from] PlatformError),
-    /// What is there cannot be read.
+    /// The configuration in the store is invalid.
     #[error(transparent)]
     Invalid(#[from] AssembleError),
 }
 
-/// Makes the call of one step.
+/// Executes the store call of one step.
 async fn execute_step(platform: &PlatformClient, step: PublishStep) -> PublishEvent {
     match step {
         PublishStep::ReadHead => match platform.read(HEAD_KEY).await {
@@ -93,8 +95,8 @@
         PublishStep::WriteChunk(chunk) => {
             write_event(platform.write(&chunk_key(&chunk.name), &chunk.text, 0).await)
         }
-        PublishStep::WriteHead { text, expected_store_revision: expect } => {
-            write_event(platform.write(HEAD_KEY, &text, expect).await)
+        PublishStep::WriteHead { text, expected_store_revision } => {
+            write_event(platform.write(HEAD_KEY, &text, expected_store_revision).await)
         }
         PublishStep::DeleteChunk { name } => match platform.delete(&chunk_key(&name)).await {
             Ok(()) => PublishEvent::Written,
@@ -104,7 +106,7 @@
     }
 }
 
-/// What came of a write.
+/// Returns the event for the result of a write.
 fn write_event(result: Result<u64, PlatformError>) -> PublishEvent {
     match result {
         Ok(_) => PublishEvent::Written,
--- a/crates/sassafrasproxy-node/src/query.rs
+++ b/crates/sassafrasproxy-node/src/query.rs
@@ -1,4 +1,4 @@
-//! A query at its entry node: the reducer, its timer and its asks.
+//! Runs one query at its ingress node: the reducer, its timer and its requests to homes.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -18,16 +18,17 @@
 use crate::replica_client::remaining_ms;
 use crate::shared::Shared;
 
-/// The part of the time left that is kept back for a home's reply: one part in this many.
+/// The time kept for the way of a home's reply is the remaining time divided by this value, but at
+/// least the minimum.
 const REPLY_RESERVE_DIVISOR: u64 = 32;
 
-/// The least time kept back for a home's reply, in microseconds.
+/// The minimum time kept for the way of a home's reply, in microseconds.
 const MIN_REPLY_RESERVE_US: u64 = 2_000;
 
-/// How much later than its own deadline a home's answer may come.
+/// How long a home's reply is awaited beyond the home's own deadline.
 const HOME_REPLY_GRACE: Duration = Duration::from_millis(10);
 
-/// What a caller asked, checked.
+/// A caller's query after validation.
 #[derive(Debug, Clone)]
 pub struct QueryJob {
     /// The caller's request id.
@@ -36,20 +37,20 @@
     pub kind: EcoString,
     /// The caller's body.
     pub body: Body,
-    /// What to ask for.
+    /// The services to query and the conditions of the answer.
     pub spec: QuerySpec,
 }
 
-/// How a query ended, with the bodies of the shards that it covers, in their order.
+/// The result of a query.
 #[derive(Debug)]
 pub struct QueryResult {
-    /// How.
+    /// The outcome, the coverage and the reason of a refusal.
     pub end: QueryEnd,
-    /// One body for each covered shard.
+    /// One body per covered shard, in the order of the covered shards.
     pub bodies: Vec<Body>,
 }
 
-/// Runs a query; dropping it gives up on everything that it asked for.
+/// Runs a query; dropping the future cancels all its pending requests.
 pub async fn run(shared: &Arc<Shared>, job: &QueryJob) -> QueryResult {
     let mut task = QueryTask {
         shared,
@@ -67,9 +68,9 @@
         }
         let wake_us = task.query.soft_deadline_us();
         step = tokio::select! {
-            Some(answer) = task.shard_requests.join_next() => match answer {
-                Ok((token, answer)) => task.handle_result(token, answer),
-                // An aborted ask is one that the reducer gave up on.
+            Some(result) = task.shard_requests.join_next() => match result {
+                Ok((token, result)) => task.handle_result(token, result),
+                // An aborted request is one that the reducer abandoned.
                 Err(_) => None,
             },
             () = tokio::time::sleep_until(shared.clock.instant_at(wake_us)) => {
@@ -79,7 +80,7 @@
     }
 }
 
-/// The state of a query that runs.
+/// The state of a running query.
 struct QueryTask<'a> {
     shared: &'a Arc<Shared>,
     job: &'a QueryJob,
@@ -90,7 +91,7 @@
     started_us: u64,
 }
 
-/// What came of an ask.
+/// The result of a request to a node for one shard.
 enum ShardRequestResult {
     Replied(SubRequestReply),
     Unreachable { may_have_arrived: bool, is_alive: bool },
@@ -100,10 +101,10 @@
     fn handle_result(
         &mut self,
         token: ShardRequestToken,
-        answer: ShardRequestResult,
+        result: ShardRequestResult,
     ) -> Option<QueryEnd> {
         self.abort_handles.swap_remove(&token);
-        let event = match answer {
+        let event = match result {
             ShardRequestResult::Replied(reply) => {
                 if let Some(holdings) = reply.holdings {
                     self.shared.send_control_event(ControlEvent::GroupHoldingsReceived(holdings));
@@ -127,7 +128,7 @@
         self.step(event)
     }
 
-    /// Steps the reducer; returns the end once there is one.
+    /// Steps the reducer and performs its effects; returns the query's end once it has one.
     fn step(&mut self, event: QueryEvent) -> Option<QueryEnd> {
         let view = self.shared.view.load_full();
         let mut end = None;
@@ -137,8 +138,8 @@
                     self.request_shard(&view, token, node, shard, snapshot, is_fallback);
                 }
                 QueryEffect::Abandon { token } => {
-                    if let Some(ask) = self.abort_handles.swap_remove(&token) {
-                        ask.abort();
+                    if let Some(handle) = self.abort_handles.swap_remove(&token) {
+                        handle.abort();
                     }
                 }
                 QueryEffect::RecordEvent(kind) => {
@@ -150,7 +151,7 @@
         end
     }
 
-    /// Asks a node for a shard, in a task of its own.
+    /// Requests a shard from a node in a separate task.
     fn request_shard(
         &mut self,
         view: &View,
@@ -180,9 +181,9 @@
         self.shared.metrics.count_sub_request();
         let shared = self.shared.clone();
         let address = view.members.get(&node).map(|member| member.peer_address.clone());
-        let is_me = node == view.local_node;
-        let ask = self.shard_requests.spawn(async move {
-            if is_me {
+        let is_local = node == view.local_node;
+        let handle = self.shard_requests.spawn(async move {
+            if is_local {
                 return (
                     token,
                     ShardRequestResult::Replied(
@@ -198,10 +199,11 @@
             };
             (token, request_from_peer(&shared, node, address, request).await)
         });
-        self.abort_handles.insert(token, ask);
+        self.abort_handles.insert(token, handle);
     }
 
-    /// Tells the asks of one query from those of another with the same request id.
+    /// Returns a suffix for the id of a sub-request, which distinguishes the sub-requests of this
+    /// query from those of another query with the same request id.
     fn id_suffix(&self, token: ShardRequestToken) -> EcoString {
         eco_format!("{}.{}", self.started_us, token.0)
     }
@@ -220,15 +222,17 @@
     }
 }
 
-/// The time that a home may take: less than remains here, so that even its refusal at the last
-/// moment, which may prove that nothing ran, comes in time.
+/// Returns the deadline for a home, in milliseconds from now.
+///
+/// It is shorter than the time that remains here, so that even a refusal at the last moment arrives
+/// in time; such a refusal may prove that nothing ran.
 fn home_deadline_ms(soft_deadline_us: u64, now_us: u64) -> u64 {
-    let left_us = soft_deadline_us.saturating_sub(now_us);
-    let margin_us = (left_us / REPLY_RESERVE_DIVISOR).max(MIN_REPLY_RESERVE_US);
-    remaining_ms(left_us, margin_us)
+    let remaining_us = soft_deadline_us.saturating_sub(now_us);
+    let reply_reserve_us = (remaining_us / REPLY_RESERVE_DIVISOR).max(MIN_REPLY_RESERVE_US);
+    remaining_ms(remaining_us, reply_reserve_us)
 }
 
-/// Asks a peer; tells it when the ask is given up.
+/// Sends a sub-request to a peer; cancels it there if this future is dropped or times out.
 async fn request_from_peer(
     shared: &Arc<Shared>,
     node: EcoString,
@@ -236,14 +240,14 @@
     request: SubRequest,
 ) -> ShardRequestResult {
     let mut guard = CancelGuard { shared, address: &address, request: &request, is_pending: true };
-    // The home answers by its own, earlier deadline; this one is for a home that does not.
+    // The home replies by its own, earlier deadline; this timeout covers a home that does not.
     let timeout = Duration::from_millis(request.deadline_ms) + HOME_REPLY_GRACE;
-    let answer = shared.peer_client.send_sub_request(&address, &request, timeout).await;
-    guard.is_pending = matches!(answer, Err(PeerError::TimedOut));
+    let result = shared.peer_client.send_sub_request(&address, &request, timeout).await;
+    guard.is_pending = matches!(result, Err(PeerError::TimedOut));
     drop(guard);
-    let error = match answer {
+    let error = match result {
         Ok(reply) => return ShardRequestResult::Replied(reply),
-        // A late answer says nothing of the connection, which other asks go on to use.
+        // A late reply does not mean that the connection failed; other requests continue to use it.
         Err(PeerError::TimedOut) => return ShardRequestResult::Replied(deadline_exceeded_reply()),
         Err(error) => error,
     };
@@ -259,13 +263,13 @@
     ShardRequestResult::Unreachable { may_have_arrived, is_alive }
 }
 
-/// The answer in place of one that did not come in time.
+/// Returns the reply that stands in for one that did not arrive in time.
 fn deadline_exceeded_reply() -> SubRequestReply {
     let outcome = SubRequestOutcome::Unknown { reason: FailureReason::DeadlineExceeded };
     SubRequestReply { outcome, holdings: None, body: None }
 }
 
-/// Tells a peer that nobody waits for an ask any more, when the ask is dropped.
+/// Cancels a sub-request at a peer when dropped while the reply is pending.
 struct CancelGuard<'a> {
     shared: &'a Arc<Shared>,
     address: &'a EcoString,
--- a/crates/sassafrasproxy-node/src/replica_client.rs
+++ b/crates/sassafrasproxy-node/src/replica_client.rs
@@ -1,4 +1,4 @@
-//! Requests to one upstream replica.
+//! Sends requests to one upstream replica.
 
 use std::time::Duration;
 
@@ -12,22 +12,23 @@
     SNAPSHOT_HEADER, SnapshotId, UpstreamQuery, UpstreamStatus,
 };
 
-/// How long a status read or a cancellation may take.
+/// The timeout of a status read or a cancellation.
 const CONTROL_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// How long a new connection may take.
+/// The timeout of a new connection.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(250);
 
-/// What a request may take beyond its deadline, so that its slot is counted until it surely ended.
+/// How long an answer is awaited beyond the deadline, so that the slot stays in use until the
+/// request has certainly ended at the replica.
 const DEADLINE_MARGIN: Duration = Duration::from_millis(250);
 
-/// Microseconds in a second.
+/// The number of microseconds in a second.
 const US_PER_S: u64 = 1_000_000;
 
-/// The connections to one replica.
+/// A client of one replica.
 ///
-/// Requests have connections of their own, so that a cancellation or a status read never waits
-/// behind them; HTTP/1.1 carries one request at a time on each.
+/// Queries use separate connections, so that a cancellation or a status read never waits for them:
+/// an HTTP/1.1 connection carries one request at a time.
 #[derive(Debug, Clone)]
 pub struct ReplicaClient {
     base_url: EcoString,
@@ -36,21 +37,22 @@
     control_client: Client,
 }
 
-/// One send to a replica.
+/// One attempt at a replica.
 #[derive(Debug, Clone)]
 pub struct AttemptRequest {
-    /// Unique for each send, over all nodes.
+    /// The id of the attempt, unique over all nodes.
     pub id: EcoString,
     /// The snapshot that the answer must come from.
     pub snapshot: SnapshotId,
-    /// When the answer is wanted at the latest, by the node's clock.
+    /// The deadline of the answer, by the node's clock.
     pub deadline_us: u64,
-    /// What to ask.
+    /// The query to run.
     pub query: UpstreamQuery,
 }
 
 impl ReplicaClient {
-    /// A replica by address, with the most idle connections to keep.
+    /// Creates a client for a replica's address that keeps at most `max_idle_connections` idle
+    /// connections for queries.
     pub fn new(address: &str, max_idle_connections: usize) -> Self {
         Self {
             base_url: ecow::eco_format!("http://{address}"),
@@ -60,16 +62,17 @@
         }
     }
 
-    /// Leaves all open connections alone and uses new ones from now on.
+    /// Uses new connections from now on; requests on open connections continue there.
     pub fn retire_connections(&mut self) {
         self.query_client = build_client(self.max_idle_connections);
         self.control_client = build_client(1);
     }
 
-    /// Sends a request and returns the report with the answer's body, if it was good.
+    /// Sends a request and returns the report, with the answer's body if the answer is valid.
     ///
-    /// The time left is read here, as late as can be. Guards against a node that was paused
-    /// between the decision and the send: it would wake and run an old request.
+    /// The remaining time is computed here, directly before the send. This guards against a node
+    /// that is paused between the decision to send and the send: when it resumes, it would
+    /// otherwise run an outdated request.
     pub async fn send(
         &self,
         clock: &Clock,
@@ -96,7 +99,7 @@
         }
     }
 
-    /// Tells the replica to stop a request; returns whether it confirmed that.
+    /// Tells the replica to cancel a request; returns whether the replica confirmed it.
     pub async fn cancel(&self, id: &str) -> bool {
         let url = format!("{}/query/{id}", self.base_url);
         let sent = self.control_client.delete(url).timeout(CONTROL_TIMEOUT).send().await;
@@ -108,26 +111,26 @@
         read_status(&self.control_client, &self.base_url).await
     }
 
-    /// Reads the replica's status over a connection of its own.
+    /// Reads the replica's status over a new connection.
     pub async fn probe(&self) -> StatusReport {
         read_status(&build_client(0), &self.base_url).await
     }
 }
 
-/// A client that keeps a number of idle connections.
-fn build_client(idle: usize) -> Client {
+/// Builds an HTTP client that keeps at most `max_idle_connections` idle connections.
+fn build_client(max_idle_connections: usize) -> Client {
     Client::builder()
         .no_proxy()
         .http1_only()
         .connect_timeout(CONNECT_TIMEOUT)
-        .pool_max_idle_per_host(idle)
+        .pool_max_idle_per_host(max_idle_connections)
         .tcp_nodelay(true)
         .build()
         .expect("a client without TLS always builds")
 }
 
-async fn read_status(client: &Client, base: &str) -> StatusReport {
-    let sent = client.get(format!("{base}/status")).timeout(CONTROL_TIMEOUT).send().await;
+async fn read_status(client: &Client, base_url: &str) -> StatusReport {
+    let sent = client.get(format!("{base_url}/status")).timeout(CONTROL_TIMEOUT).send().await;
     let response = match sent {
         Ok(response) => response,
         Err(error) if error.is_connect() => return StatusReport::Unreachable,
@@ -139,7 +142,7 @@
     }
 }
 
-/// Sorts a failed send out.
+/// Returns the result of an attempt that failed without a complete answer.
 fn classify_error(error: &reqwest::Error) -> AttemptResult {
     if error.is_connect() {
         AttemptResult::ConnectFailed
@@ -150,23 +153,23 @@
     }
 }
 
-/// Checks that an answer belongs to the send before its body is taken.
+/// Reads an answer; its body is read only if the answer belongs to the attempt and its snapshot.
 async fn read_answer(
     request: &AttemptRequest,
     response: Response,
 ) -> (AttemptReport, Option<Body>) {
     let headers = response.headers();
-    let text = |name: &str| headers.get(name).and_then(|value| value.to_str().ok());
+    let header = |name: &str| headers.get(name).and_then(|value| value.to_str().ok());
     let mut report = AttemptReport {
         result: AttemptResult::Answered,
-        boot_id: text(BOOT_ID_HEADER).map(EcoString::from),
-        is_draining: text(DRAINING_HEADER) == Some("true"),
+        boot_id: header(BOOT_ID_HEADER).map(EcoString::from),
+        is_draining: header(DRAINING_HEADER) == Some("true"),
     };
-    let is_ours = text(REQUEST_ID_HEADER) == Some(request.id.as_str());
-    let snapshot = text(SNAPSHOT_HEADER).and_then(|value| value.parse::<SnapshotId>().ok());
+    let is_same_request = header(REQUEST_ID_HEADER) == Some(request.id.as_str());
+    let snapshot = header(SNAPSHOT_HEADER).and_then(|value| value.parse::<SnapshotId>().ok());
     report.result = if response.status() != StatusCode::OK {
         classify_refusal(response.status(), headers)
-    } else if !is_ours || snapshot != Some(request.snapshot) {
+    } else if !is_same_request || snapshot != Some(request.snapshot) {
         AttemptResult::Mismatched
     } else {
         AttemptResult::Answered
@@ -187,7 +190,8 @@
     (report, body.map(Body::from))
 }
 
-/// Sorts a refusal out; without the upstream's word that it did not run, it may have.
+/// Returns the result for a refusal; unless the upstream says that the request did not run, it may
+/// have run.
 fn classify_refusal(status: StatusCode, headers: &HeaderMap) -> AttemptResult {
     let is_not_run = headers.get(NOT_RUN_HEADER).is_some_and(|value| value == "true");
     match status {
@@ -199,14 +203,16 @@
     }
 }
 
-/// The pause that an upstream asks for, in whole or decimal seconds.
+/// Returns the retry delay that an upstream requests in whole or decimal seconds, or 0 if it
+/// requests none.
 fn retry_after_us(headers: &HeaderMap) -> u64 {
     let text = headers.get(RETRY_AFTER).and_then(|value| value.to_str().ok());
     let seconds = text.and_then(|text| text.parse::<f64>().ok()).unwrap_or(0.0);
     (seconds.max(0.0) * US_PER_S as f64) as u64
 }
 
-/// The time from now to a deadline in milliseconds, rounded down so that no hop adds any.
+/// Returns the time from now to a deadline in milliseconds, rounded down so that no hop extends the
+/// deadline.
 pub fn remaining_ms(deadline_us: u64, now_us: u64) -> u64 {
     deadline_us.saturating_sub(now_us) / US_PER_MS
 }
--- a/crates/sassafrasproxy-node/src/shared.rs
+++ b/crates/sassafrasproxy-node/src/shared.rs
@@ -1,4 +1,4 @@
-//! What the parts of one node share.
+//! The state that the tasks and threads of one node share.
 
 use std::sync::Arc;
 
@@ -18,7 +18,7 @@
 use crate::peer_client::PeerClient;
 use crate::schedulers::Schedulers;
 
-/// What the parts of one node share; the control thread alone changes `view`.
+/// The state that the tasks and threads of one node share. Only the control thread changes `view`.
 pub struct Shared {
     pub settings: NodeSettings,
     pub tuning: Tuning,
@@ -31,17 +31,17 @@
     pub claim_buckets: ClaimBuckets,
     pub platform: PlatformClient,
     pub control_sender: mpsc::UnboundedSender<ControlInput>,
-    /// Tells this life of the node from an earlier one in the ids that it makes.
+    /// Part of the ids that the node creates; distinguishes this run of the node from earlier ones.
     pub instance_id: EcoString,
 }
 
 impl Shared {
-    /// Gives the control thread an event; a node that is ending takes none.
+    /// Sends an event to the control thread; it is dropped if the thread has stopped.
     pub fn send_control_event(&self, event: ControlEvent) {
         let _ = self.control_sender.send(ControlInput::Event(event));
     }
 
-    /// The peer address of a member.
+    /// Returns the peer address of a member, or `None` if it is unknown.
     pub fn peer_address(&self, node: &str) -> Option<EcoString> {
         let view: Arc<View> = self.view.load_full();
         view.members.get(node).map(|member| member.peer_address.clone())
