--- a/crates/sassafrasproxy-node/src/claim_buckets.rs
+++ b/crates/sassafrasproxy-node/src/claim_buckets.rs
@@ -101,7 +101,7 @@
     view.members.get(home).map(|member| member.peer_address.clone())
 }
 
-/// Returns a new id that is unique over all nodes, for tokens and bucket epochs.
+/// Returns a new id that is unique over all nodes, for a claim's token or a bucket's instance.
 fn new_unique_id(shared: &Shared) -> EcoString {
     eco_format!("{}-{:016x}", shared.instance_id, rand::random::<u64>())
 }
--- a/crates/sassafrasproxy-node/src/http.rs
+++ b/crates/sassafrasproxy-node/src/http.rs
@@ -35,10 +35,11 @@
 /// The minimum answer reserve, the time kept to assemble and send the answer, in microseconds.
 const MIN_ANSWER_RESERVE_US: u64 = 3_000;
 
-/// The deadline divided by this value is the answer reserve, if it is above the minimum.
+/// The answer reserve is the deadline divided by this value, but at least the minimum and at most
+/// half of the deadline.
 const ANSWER_RESERVE_DIVISOR: u64 = 20;
 
-/// The maximum number of addresses in the answer to a caller.
+/// The maximum number of ingress addresses that are returned to a caller.
 const MAX_ADDRESSES: usize = 16;
 
 /// The state of the HTTP interface.
--- a/crates/sassafrasproxy-node/src/responses.rs
+++ b/crates/sassafrasproxy-node/src/responses.rs
@@ -10,7 +10,7 @@
 /// The retry delay of a refusal that this node itself makes, in milliseconds.
 const RETRY_AFTER_MS: u64 = 500;
 
-/// Returns the JSON text of an answered query, or `None` if the query has any other outcome.
+/// Returns the JSON text of the answer to a query, or `None` if the query has no answer.
 pub fn answer_json(
     request_id: &EcoString,
     index: &EcoString,
--- a/crates/sassafrasproxy-node/src/schedulers.rs
+++ b/crates/sassafrasproxy-node/src/schedulers.rs
@@ -68,7 +68,7 @@
         }
     }
 
-    /// Passes the state that a group's old home handed over to the group's scheduler.
+    /// Passes a hand-over from a group's old home to the group's scheduler, if that is running.
     pub fn apply_hand_over(&self, hand_over: HandOver) {
         if let Some(scheduler) = self.lock().get(&hand_over.group) {
             let _ =
