--- a/crates/sassafrasproxy-node/src/http.rs
+++ b/crates/sassafrasproxy-node/src/http.rs
@@ -148,7 +148,7 @@
         }
         Ok((NonIdempotentResult::ClaimUnavailable, _)) => {
             let detail =
-                "the request could not be claimed before its deadline, so it was not run; retry it";
+                "the key could not be claimed in time, so the request was not run; retry it";
             refuse_as(Outcome::NotRun, FailureReason::ClaimUnavailable, detail)
         }
         Err(_) => {
--- a/crates/sassafrasproxy-node/src/node.rs
+++ b/crates/sassafrasproxy-node/src/node.rs
@@ -42,7 +42,7 @@
 #[derive(Debug, Error)]
 pub enum StartError {
     /// A socket could not be bound.
-    #[error("cannot listen on {address}: {error}; use a free address of this VM")]
+    #[error("cannot listen on {address}: {error}; choose a free address")]
     Listen {
         /// The address.
         address: SocketAddr,
--- a/crates/sassafrasproxy-node/src/non_idempotent.rs
+++ b/crates/sassafrasproxy-node/src/non_idempotent.rs
@@ -25,7 +25,7 @@
     KeyUsed,
     /// Its key was used before for a different request.
     KeyReused,
-    /// Its key could not be claimed before the soft deadline, so it was not run.
+    /// Its key could not be claimed at all or in time, so it was not run.
     ClaimUnavailable,
 }
 
--- a/crates/sassafrasproxy-node/src/schedulers.rs
+++ b/crates/sassafrasproxy-node/src/schedulers.rs
@@ -43,19 +43,19 @@
         else {
             return not_run_reply(FailureReason::NoReplica);
         };
-        let mut ran_here = false;
+        let mut may_have_run_here = false;
         if view.is_home(&group) || request.fallback {
             let reply = self.run_locally(shared, &group, request.clone(), deadline_us).await;
             let SubRequestOutcome::NotHome { may_have_run } = reply.outcome else { return reply };
-            ran_here = may_have_run;
+            may_have_run_here = may_have_run;
         }
         if request.forwarded {
-            return not_home_reply(ran_here);
+            return not_home_reply(may_have_run_here);
         }
         request.forwarded = true;
         request.deadline_ms = remaining_ms(deadline_us, shared.clock.now_us());
         let mut reply = self.forward_to_home(shared, &group, request).await;
-        reply.outcome = reply.outcome.with_prior_run(ran_here);
+        reply.outcome = reply.outcome.with_prior_run(may_have_run_here);
         reply
     }
 
