--- a/crates/sassafrasproxy-node/src/http.rs
+++ b/crates/sassafrasproxy-node/src/http.rs
@@ -82,8 +82,7 @@
     let validated = match body {
         Ok(text) => http.validate(request_id.clone(), has_request_id, deadline, &text),
         Err(poem::error::ReadBodyError::PayloadTooLarge) => {
-            let detail =
-                eco_format!("the request body is too large; send at most {MAX_BODY_BYTES} bytes");
+            let detail = eco_format!("send at most {MAX_BODY_BYTES} bytes");
             Err(not_run_refusal(request_id, FailureReason::BodyTooLarge, detail))
         }
         Err(error) => {
@@ -139,7 +138,7 @@
         }
         Ok((NonIdempotentResult::AlreadyAnswered(text), _)) => answer_response(&text),
         Ok((NonIdempotentResult::KeyUsed, _)) => {
-            let detail = "this key was used before; the outcome is not known yet or stays unknown";
+            let detail = "this key was used before and its outcome is not known yet, or for good";
             refuse_as(Outcome::Unknown, FailureReason::KeyUsed, detail)
         }
         Ok((NonIdempotentResult::KeyReused, _)) => {
@@ -147,8 +146,7 @@
             refuse_as(Outcome::NotRun, FailureReason::KeyReused, detail)
         }
         Ok((NonIdempotentResult::ClaimUnavailable, _)) => {
-            let detail =
-                "the key could not be claimed in time, so the request was not run; retry it";
+            let detail = "the request could not be claimed in time, so it was not run";
             refuse_as(Outcome::NotRun, FailureReason::ClaimUnavailable, detail)
         }
         Err(_) => {
@@ -247,7 +245,7 @@
         let refuse =
             |reason, detail: EcoString| Err(not_run_refusal(request_id.clone(), reason, detail));
         if request_id.is_empty() || request_id.len() > MAX_REQUEST_ID_BYTES {
-            let detail = eco_format!("the request id must have 1 to {MAX_REQUEST_ID_BYTES} bytes");
+            let detail = eco_format!("use a request id of 1 to {MAX_REQUEST_ID_BYTES} bytes");
             return refuse(FailureReason::BadRequest, detail);
         }
         let query: QueryRequest = match serde_json::from_slice(text) {
@@ -256,7 +254,7 @@
         };
         let view = self.shared.view.load();
         if view.configuration.revision == 0 {
-            let detail = "this node has no active configuration yet; retry later".into();
+            let detail = "no configuration is in force yet; come back".into();
             return refuse(FailureReason::NoConfiguration, detail);
         }
         let services = match find_services(&view, &query) {
@@ -264,20 +262,15 @@
             Err((reason, detail)) => return refuse(reason, detail),
         };
         let Some(index) = services.first().map(|service| service.index.clone()) else {
-            return refuse(
-                FailureReason::BadRequest,
-                "`services` is empty; name at least one service".into(),
-            );
+            return refuse(FailureReason::BadRequest, "name at least one service".into());
         };
         let is_idempotent = services
             .iter()
             .filter_map(|service| service.kinds.get(&query.kind))
             .all(|kind| kind.idempotent);
         if !is_idempotent && !has_request_id {
-            let detail = eco_format!(
-                "request kind `{}` is not idempotent; send the header {REQUEST_ID_HEADER}",
-                query.kind
-            );
+            let detail =
+                eco_format!("`{}` is not idempotent: send {REQUEST_ID_HEADER}", query.kind);
             return refuse(FailureReason::MissingRequestId, detail);
         }
         let max_deadline_ms = services.iter().map(|service| service.deadline_ms).max().unwrap_or(0);
@@ -285,14 +278,12 @@
             None => max_deadline_ms,
             Some(Ok(deadline_ms)) if (1..=MAX_DEADLINE_MS).contains(&deadline_ms) => deadline_ms,
             Some(_) => {
-                let detail = eco_format!(
-                    "{DEADLINE_HEADER} must be a whole number from 1 to {MAX_DEADLINE_MS}"
-                );
+                let detail = eco_format!("{DEADLINE_HEADER} takes 1 to {MAX_DEADLINE_MS}");
                 return refuse(FailureReason::BadRequest, detail);
             }
         };
         if !(0.0..=1.0).contains(&query.min_coverage) {
-            return refuse(FailureReason::BadRequest, "`min_coverage` must be from 0 to 1".into());
+            return refuse(FailureReason::BadRequest, "min_coverage takes 0 to 1".into());
         }
         let deadline_us = deadline_ms * US_PER_MS;
         let answer_reserve_us =
@@ -319,19 +310,15 @@
     let mut seen = IndexSet::new();
     for name in query.services.iter().filter(|name| seen.insert(*name)) {
         let Some(service) = view.configuration.services.get(name) else {
-            let detail = eco_format!("service `{name}` is not configured; check its name");
+            let detail = eco_format!("service `{name}` is not configured");
             return Err((FailureReason::UnknownService, detail));
         };
         if !service.kinds.contains_key(&query.kind) {
-            let detail =
-                eco_format!("service `{name}` does not declare the request kind `{}`", query.kind);
+            let detail = eco_format!("service `{name}` declares no kind `{}`", query.kind);
             return Err((FailureReason::UnknownKind, detail));
         }
         if let Some(first) = services.first().filter(|first| first.index != service.index) {
-            let detail = eco_format!(
-                "services `{}` and `{name}` belong to different indexes; query them separately",
-                first.service
-            );
+            let detail = eco_format!("`{}` and `{name}` are of two indexes", first.service);
             return Err((FailureReason::SeveralIndexes, detail));
         }
         services.push(service);
--- a/crates/sassafrasproxy-node/src/peer_server.rs
+++ b/crates/sassafrasproxy-node/src/peer_server.rs
@@ -129,8 +129,7 @@
 ) -> Result<T, ErrorObjectOwned> {
     let (reply, answer) = oneshot::channel();
     let _ = shared.control_sender.send(input(reply));
-    let to_error = |_| {
-        ErrorObjectOwned::owned(SHUTTING_DOWN_ERROR_CODE, "the node is shutting down", None::<()>)
-    };
+    let to_error =
+        |_| ErrorObjectOwned::owned(SHUTTING_DOWN_ERROR_CODE, "the node is ending", None::<()>);
     answer.await.map_err(to_error)
 }
