--- a/crates/sassafrasproxy-soak/src/checker.rs
+++ b/crates/sassafrasproxy-soak/src/checker.rs
@@ -1,4 +1,4 @@
-//! What callers ask, and what must hold of what they and the replicas see.
+//! Sends the callers' requests and checks their answers against what the replicas ran.
 
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
 use std::sync::{Arc, Mutex};
@@ -9,22 +9,24 @@
 
 use crate::cluster::{Cluster, GatewayAddresses, SHARD_COUNT, shard_record};
 
-/// How long a caller waits, in milliseconds; well beyond the route's timeout.
+/// The deadline of a caller's request, in milliseconds; well beyond the route's timeout.
 const CALLER_DEADLINE_MS: u64 = 2_000;
 
-/// How long beyond that a caller keeps its connection open; a paused process holds it as long.
+/// The time after which a caller gives up on an answer.
+///
+/// It exceeds the deadline, since a paused gateway holds the connection open without an answer.
 const ANSWER_TIMEOUT: Duration = Duration::from_secs(4);
 
-/// What callers saw so far.
+/// The results that callers have recorded so far.
 #[derive(Debug, Clone, Default)]
 pub struct CallerReport {
-    /// Broken promises.
+    /// The violations found in single answers.
     pub violations: Vec<String>,
-    /// How many requests ended with each status; 0 without an answer.
+    /// The number of requests that ended with each status; 0 stands for no answer.
     pub status_counts: IndexMap<u16, usize>,
 }
 
-/// The callers' shared record.
+/// Records what callers observe; clones share one state.
 #[derive(Clone, Default)]
 pub struct Checker {
     state: Arc<State>,
@@ -35,35 +37,35 @@
     is_stopped: AtomicBool,
     next_request: AtomicU64,
     report: Mutex<CallerReport>,
-    /// Orders, with the status that each caller got.
+    /// The status of each order by attempt id; 0 stands for no answer.
     order_statuses: Mutex<IndexMap<String, u16>>,
-    /// Whether nothing is wrong but that gateways are stopped and started as planned.
+    /// Whether all faults are cleared and only planned restarts of gateways happen.
     has_only_planned_restarts: AtomicBool,
-    /// Requests of the calm time that ended without an answer.
+    /// The attempt ids of requests that were sent during the planned restarts and got no answer.
     unanswered_requests: Mutex<Vec<String>>,
 }
 
 impl Checker {
-    /// Ends the callers after their current requests.
+    /// Stops the callers after their current requests.
     pub fn stop(&self) {
         self.state.is_stopped.store(true, Ordering::Relaxed);
     }
 
-    /// From now on only planned stops and starts of gateways happen.
+    /// Marks the start of the phase in which only planned restarts of gateways happen.
     pub fn begin_planned_restarts(&self) {
         self.state.has_only_planned_restarts.store(true, Ordering::Relaxed);
     }
 
-    /// What callers saw.
+    /// Returns the results that callers have recorded so far.
     pub fn report(&self) -> CallerReport {
         self.state.report.lock().unwrap().clone()
     }
 
-    /// Asks one gateway after the other until the soak ends; every second caller keeps its
-    /// connection until the gateway ends it.
+    /// Sends requests to the gateways in turn until `stop` is called; every second caller reuses
+    /// its connection until the gateway closes it.
     pub async fn run_caller(self, caller: usize, addresses: GatewayAddresses, pause: Duration) {
-        let is_keeping = caller % 2 == 1;
-        let mut kept = PersistentCaller::default();
+        let reuses_connection = caller % 2 == 1;
+        let mut connection = PersistentCaller::default();
         while !self.state.is_stopped.load(Ordering::Relaxed) {
             let number = self.state.next_request.fetch_add(1, Ordering::Relaxed);
             let address = {
@@ -73,14 +75,16 @@
             let attempt = format!("a{number}");
             let kind = ["all", "one", "order"][number as usize % 3];
             let path = format!("/{kind}/{number}");
-            if !is_keeping {
-                kept = PersistentCaller::default();
+            if !reuses_connection {
+                connection = PersistentCaller::default();
             }
-            let is_calm = self.state.has_only_planned_restarts.load(Ordering::Relaxed);
-            let asked = kept.send_get(address, "soak.example", &path, &attempt, CALLER_DEADLINE_MS);
-            let answer = tokio::time::timeout(ANSWER_TIMEOUT, asked).await;
+            let has_only_planned_restarts =
+                self.state.has_only_planned_restarts.load(Ordering::Relaxed);
+            let request =
+                connection.send_get(address, "soak.example", &path, &attempt, CALLER_DEADLINE_MS);
+            let answer = tokio::time::timeout(ANSWER_TIMEOUT, request).await;
             let answer = answer.ok().and_then(Result::ok);
-            if is_calm && answer.is_none() {
+            if has_only_planned_restarts && answer.is_none() {
                 self.state.unanswered_requests.lock().unwrap().push(attempt.clone());
             }
             self.record_answer(kind, attempt, answer.as_ref());
@@ -90,73 +94,88 @@
 
     fn record_answer(&self, kind: &str, attempt: String, answer: Option<&CallerAnswer>) {
         let status = answer.map_or(0, |answer| answer.status.as_u16());
-        let mut tally = self.state.report.lock().unwrap();
-        *tally.status_counts.entry(status).or_default() += 1;
+        let mut report = self.state.report.lock().unwrap();
+        *report.status_counts.entry(status).or_default() += 1;
         if kind == "order" {
             self.state.order_statuses.lock().unwrap().insert(attempt.clone(), status);
         }
         let Some(answer) = answer.filter(|answer| answer.status == 200) else { return };
-        let wrong = match kind {
+        let violation = match kind {
             "all" => check_merged_answer(answer),
             _ => check_single_answer(answer, &attempt),
         };
-        tally.violations.extend(wrong.map(|wrong| format!("{attempt}: {wrong}")));
+        report.violations.extend(violation.map(|violation| format!("{attempt}: {violation}")));
     }
 
-    /// Orders run once at most, what was refused as not run ran nowhere, and no request that
-    /// reached a replica was lost by a planned stop.
-    pub fn check_replicas(&self, fleet: &Cluster) -> Vec<String> {
+    /// Returns the violations of three rules: an order runs at most once, an order that was refused
+    /// as not run ran on no replica, and no request that reached a replica during a planned
+    /// restart stays without an answer.
+    pub fn check_replicas(&self, cluster: &Cluster) -> Vec<String> {
         let mut runs: IndexMap<String, usize> = IndexMap::new();
-        for replica in fleet.replicas.iter().chain(&fleet.failing_version_replicas) {
+        for replica in cluster.replicas.iter().chain(&cluster.failing_version_replicas) {
             for attempt in replica.started_attempt_ids() {
                 *runs.entry(attempt).or_default() += 1;
             }
         }
         let orders = self.state.order_statuses.lock().unwrap();
-        let mut broken = Vec::new();
+        let mut violations = Vec::new();
         for (attempt, status) in orders.iter() {
             let count = runs.get(attempt).copied().unwrap_or(0);
             if count > 1 {
-                broken.push(format!("{attempt}: an order ran {count} times"));
+                violations.push(format!(
+                    "{attempt}: the order ran {count} times; it may run at most once"
+                ));
             }
             if *status == 503 && count > 0 {
-                broken.push(format!("{attempt}: an order that was refused as not run has run"));
+                violations.push(format!(
+                    "{attempt}: the order ran although it was refused with 503 as not run"
+                ));
             }
         }
         for attempt in self.state.unanswered_requests.lock().unwrap().iter() {
             if runs.contains_key(attempt) {
-                broken.push(format!("{attempt}: a planned stop lost the answer"));
+                violations.push(format!(
+                    "{attempt}: a replica ran the request during planned restarts, \
+                     but the caller got no answer"
+                ));
             }
         }
-        broken
+        violations
     }
 }
 
-/// A single answer is the replica's own, to this request.
+/// Returns a violation unless an answer carries this request's id and the replica's whole record.
 fn check_single_answer(answer: &CallerAnswer, attempt: &str) -> Option<String> {
     let is_own = answer.attempt_id() == attempt;
     let is_whole = answer.body == shard_record(2 * SHARD_COUNT as u8);
-    (!is_own || !is_whole).then(|| format!("not the replica's answer: {answer:?}"))
+    (!is_own || !is_whole)
+        .then(|| format!("the answer belongs to another request or has a wrong body: {answer:?}"))
 }
 
-/// A merged answer names each part once, and holds the greatest records of just these parts.
+/// Returns a violation unless a merged answer names each part once and holds the top records of
+/// exactly these parts.
 fn check_merged_answer(answer: &CallerAnswer) -> Option<String> {
     let stamps = answer.part_stamps();
     let shards: Option<IndexSet<u8>> = stamps.iter().map(|stamp| shard_of_stamp(stamp)).collect();
     let missing = answer.missing_shard_count()?;
     let Some(mut shards) = shards.filter(|shards| shards.len() == stamps.len()) else {
-        return Some(format!("a shard that is no shard, or one twice: {stamps:?}"));
+        return Some(format!(
+            "the part stamps name an unknown shard, or one shard twice: {stamps:?}"
+        ));
     };
     shards.sort();
-    let greatest: Vec<u8> =
+    let expected_body: Vec<u8> =
         shards.iter().rev().take(2).flat_map(|shard| shard_record(2 * shard)).collect();
-    if stamps.len() + missing != SHARD_COUNT || answer.body != greatest {
-        return Some(format!("{stamps:?}, {missing} missing, with {:?}", answer.body));
+    if stamps.len() + missing != SHARD_COUNT || answer.body != expected_body {
+        return Some(format!(
+            "wrong shard count or body: parts {stamps:?}, {missing} missing, body {:?}",
+            answer.body
+        ));
     }
     None
 }
 
-/// The shard whose replica signed: `r5.17` is replica 5 of shard 2.
+/// Returns the shard of the replica that a part stamp names: `r5.17` is replica 5, of shard 2.
 fn shard_of_stamp(stamp: &str) -> Option<u8> {
     let replica: u8 = stamp.strip_prefix('r')?.split('.').next()?.parse().ok()?;
     (replica < 2 * SHARD_COUNT as u8).then_some(replica / 2)
--- a/crates/sassafrasproxy-soak/src/cluster.rs
+++ b/crates/sassafrasproxy-soak/src/cluster.rs
@@ -1,4 +1,4 @@
-//! The processes and stand-ins of a soak, and how faults are played on them.
+//! Starts the processes and stand-ins of a soak and applies faults to them.
 
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -15,41 +15,41 @@
 
 use crate::schedule::Fault;
 
-/// How many shards the gathered route has; two replicas each, and two of the single service.
+/// The number of shards of the gathered route.
 pub const SHARD_COUNT: usize = 4;
 
-/// How many replicas there are.
+/// The number of replicas: two of each shard, and two of the single service.
 pub const REPLICA_COUNT: usize = 2 * SHARD_COUNT + 2;
 
-/// What operators let a bad version of the single service get: a share of all requests to it, and so
-/// many besides.
+/// The operators' limit on the requests that a failing version of the single service receives: a
+/// share of all requests to the service, plus a fixed number.
 const EXPOSURE_SHARE: f64 = 0.1;
 const EXPOSURE_SLACK_REQUESTS: f64 = 50.0;
 
-/// How long the operators give the roll-out that every soak has, in seconds.
+/// The period in the rollout order of every soak, in seconds.
 const ROLLOUT_PERIOD_S: f64 = 12.0;
 
-/// How long a slow replica takes, in milliseconds.
+/// The time that a slow replica takes to answer, in milliseconds.
 const SLOW_ANSWER_MS: u64 = 80;
 
-/// How much longer a delaying way takes in each direction, in milliseconds.
+/// The delay that a delaying proxy adds in each direction, in milliseconds.
 const PROXY_DELAY_MS: u64 = 30;
 
-/// Where each gateway serves callers at the moment.
+/// The address at which each gateway serves callers, updated on restarts.
 pub type GatewayAddresses = Arc<Mutex<Vec<SocketAddr>>>;
 
-/// Everything that runs.
+/// The gateways, replicas, store and proxies of one soak.
 pub struct Cluster {
     binary: PathBuf,
     store: StoreStandIn,
     pub replicas: Vec<ReplicaStandIn>,
-    /// Replicas of the single service with a new version, which fails every second request.
+    /// The replicas of the single service's new version, which fail every second request.
     pub failing_version_replicas: Vec<ReplicaStandIn>,
-    /// From the gateways to each replica.
+    /// The proxy in front of each replica.
     replica_proxies: Vec<FaultProxy>,
-    /// From each gateway to the store.
+    /// The proxy between each gateway and the store.
     store_proxies: Vec<FaultProxy>,
-    /// From the other gateways to each gateway's relay port.
+    /// The proxy in front of each gateway's relay port, which the other gateways connect to.
     relay_proxies: Vec<FaultProxy>,
     gateways: Vec<GatewayProcess>,
     addresses: GatewayAddresses,
@@ -58,79 +58,91 @@
 }
 
 impl Cluster {
-    /// Starts the gateways over sound replicas and waits until all know the configuration.
-    pub async fn start(binary: &Path, nodes: usize) -> Result<Self> {
-        let replicas = (0..REPLICA_COUNT).map(|at| {
-            let service =
-                if at < 2 * SHARD_COUNT { format!("shard-{}", at / 2) } else { "desk".into() };
-            ReplicaStandIn::start(&format!("r{at}"), &service, shard_record(at as u8))
+    /// Starts the gateways with healthy replicas, waits until all gateways have the configuration,
+    /// and orders the rollout of the failing version.
+    pub async fn start(binary: &Path, gateway_count: usize) -> Result<Self> {
+        let replicas = (0..REPLICA_COUNT).map(|index| {
+            let service = if index < 2 * SHARD_COUNT {
+                format!("shard-{}", index / 2)
+            } else {
+                "desk".into()
+            };
+            ReplicaStandIn::start(&format!("r{index}"), &service, shard_record(index as u8))
         });
         let replicas: Vec<ReplicaStandIn> = replicas.collect();
-        let bad_version = ["n0", "n1"].map(|id| {
+        let failing_version = ["n0", "n1"].map(|id| {
             let replica = ReplicaStandIn::start(id, "desk", shard_record(2 * SHARD_COUNT as u8));
             replica.set_mode(ReplicaMode::FailingEveryNth(2));
             replica.with_version("v2")
         });
         let store = StoreStandIn::start();
-        let mut fleet = Self {
+        let mut cluster = Self {
             binary: binary.to_path_buf(),
             replica_proxies: replicas
                 .iter()
                 .map(|replica| FaultProxy::start(replica.address()))
                 .collect(),
-            store_proxies: (0..nodes).map(|_| FaultProxy::start(store.address())).collect(),
-            // Each leads to its gateway once that has started.
-            relay_proxies: (0..nodes).map(|_| FaultProxy::start(store.address())).collect(),
+            store_proxies: (0..gateway_count).map(|_| FaultProxy::start(store.address())).collect(),
+            // `start_gateway` sets each one's target once its gateway listens.
+            relay_proxies: (0..gateway_count).map(|_| FaultProxy::start(store.address())).collect(),
             store,
             replicas,
-            failing_version_replicas: bad_version.into(),
+            failing_version_replicas: failing_version.into(),
             gateways: Vec::new(),
             addresses: Arc::default(),
             configuration_version: 0,
             violations: Vec::new(),
         };
-        fleet.publish_configuration();
-        for at in 0..REPLICA_COUNT {
-            fleet.register_replica(at, "ready");
+        cluster.publish_configuration();
+        for index in 0..REPLICA_COUNT {
+            cluster.register_replica(index, "ready");
         }
-        for at in 0..nodes {
-            let gateway = fleet.start_gateway(at)?;
-            fleet.addresses.lock().unwrap().push(gateway.callers_address());
-            fleet.gateways.push(gateway);
+        for index in 0..gateway_count {
+            let gateway = cluster.start_gateway(index)?;
+            cluster.addresses.lock().unwrap().push(gateway.callers_address());
+            cluster.gateways.push(gateway);
         }
-        for gateway in &fleet.gateways {
+        for gateway in &cluster.gateways {
             gateway.wait_for_log_line("a configuration is in force")?;
         }
-        for (replica, zone) in fleet.failing_version_replicas.iter().zip(["west", "east"]) {
-            replica.register(&fleet.store, zone, "ready");
+        for (replica, failure_domain) in
+            cluster.failing_version_replicas.iter().zip(["west", "east"])
+        {
+            replica.register(&cluster.store, failure_domain, "ready");
         }
-        fleet.store.order_rollout("desk", "v2", ROLLOUT_PERIOD_S);
-        Ok(fleet)
+        cluster.store.order_rollout("desk", "v2", ROLLOUT_PERIOD_S);
+        Ok(cluster)
     }
 
-    /// What the bad version got beyond its bound, or whether it was completed.
+    /// Returns a violation if the failing version received more requests than its limit, or if its
+    /// rollout completed.
     fn exposure_violation(&self) -> Option<String> {
-        let arrivals = |replicas: &[ReplicaStandIn]| {
+        let request_count = |replicas: &[ReplicaStandIn]| {
             replicas.iter().map(|replica| replica.received_requests().len()).sum::<usize>()
         };
-        let bad = arrivals(&self.failing_version_replicas);
-        let all = bad + arrivals(&self.replicas[2 * SHARD_COUNT..]);
-        let bound = EXPOSURE_SHARE * all as f64 + EXPOSURE_SLACK_REQUESTS;
+        let failing_version_requests = request_count(&self.failing_version_replicas);
+        let all_requests =
+            failing_version_requests + request_count(&self.replicas[2 * SHARD_COUNT..]);
+        let bound = EXPOSURE_SHARE * all_requests as f64 + EXPOSURE_SLACK_REQUESTS;
         let status = self.store.rollout_status("desk").map(|(state, _)| state);
         let is_completed = status.as_deref() == Some("completed");
-        (is_completed || bad as f64 > bound)
-            .then(|| format!("a bad version got {bad} of {all} requests and is {status:?}"))
+        (is_completed || failing_version_requests as f64 > bound).then(|| {
+            format!(
+                "the failing version received {failing_version_requests} of \
+                     {all_requests} requests, and its rollout is {status:?}"
+            )
+        })
     }
 
-    /// Where the gateways serve callers, kept up to date.
+    /// Returns the shared list of the addresses at which gateways serve callers.
     pub fn addresses(&self) -> GatewayAddresses {
         self.addresses.clone()
     }
 
-    /// What was seen to be wrong with the processes themselves.
+    /// Returns the violations seen in the gateway processes and in the rollout.
     pub fn violations(&self) -> Vec<String> {
-        let mut broken = self.violations.clone();
-        broken.extend(self.exposure_violation());
+        let mut violations = self.violations.clone();
+        violations.extend(self.exposure_violation());
         for gateway in &self.gateways {
             let versions: Vec<u64> = gateway
                 .log_lines()
@@ -139,76 +151,86 @@
                 .filter_map(|line| line["version"].as_u64())
                 .collect();
             if !versions.is_sorted() {
-                broken.push(format!("a configuration went back: {versions:?}"));
+                violations
+                    .push(format!("a gateway went back to an older configuration: {versions:?}"));
             }
         }
-        broken
+        violations
     }
 
-    /// Plays one fault.
+    /// Applies one fault.
     pub async fn apply_fault(&mut self, fault: &Fault) -> Result<()> {
         match *fault {
-            Fault::Kill(at) => {
-                self.gateways[at].signal(Signal::SIGKILL)?;
-                self.restart_gateway(at)?;
+            Fault::Kill(index) => {
+                self.gateways[index].signal(Signal::SIGKILL)?;
+                self.restart_gateway(index)?;
             }
-            Fault::Pause(at) => self.gateways[at].signal(Signal::SIGSTOP)?,
-            Fault::Resume(at) => self.gateways[at].signal(Signal::SIGCONT)?,
-            Fault::Terminate(at) => {
-                // A process that stands still cannot end by itself.
-                self.gateways[at].signal(Signal::SIGCONT)?;
-                self.gateways[at].signal(Signal::SIGTERM)?;
-                let status = self.gateways[at].wait_for_exit()?;
+            Fault::Pause(index) => self.gateways[index].signal(Signal::SIGSTOP)?,
+            Fault::Resume(index) => self.gateways[index].signal(Signal::SIGCONT)?,
+            Fault::Terminate(index) => {
+                // A paused process can't handle SIGTERM.
+                self.gateways[index].signal(Signal::SIGCONT)?;
+                self.gateways[index].signal(Signal::SIGTERM)?;
+                let status = self.gateways[index].wait_for_exit()?;
                 if !status.success() {
-                    self.violations.push(format!("gateway {at} ended with {status} after SIGTERM"));
+                    self.violations
+                        .push(format!("gateway {index} exited with {status} after SIGTERM"));
                 }
-                self.restart_gateway(at)?;
+                self.restart_gateway(index)?;
             }
-            Fault::Hangup(at) => self.gateways[at].signal(Signal::SIGHUP)?,
-            Fault::ReplicaSlow(at) => {
-                self.replicas[at].set_mode(ReplicaMode::Answering(SLOW_ANSWER_MS));
+            Fault::Hangup(index) => self.gateways[index].signal(Signal::SIGHUP)?,
+            Fault::ReplicaSlow(index) => {
+                self.replicas[index].set_mode(ReplicaMode::Answering(SLOW_ANSWER_MS));
             }
-            Fault::ReplicaFails(at) => self.replicas[at].set_mode(ReplicaMode::Failing),
-            Fault::ReplicaSheds(at) => self.replicas[at].set_mode(ReplicaMode::Shedding),
-            Fault::ReplicaSilent(at) => self.replicas[at].set_mode(ReplicaMode::Unresponsive),
-            Fault::ReplicaCrosses(at) => self.replicas[at].set_mode(ReplicaMode::WrongAttemptId),
-            Fault::ReplicaSound(at) => self.replicas[at].set_mode(ReplicaMode::Answering(0)),
-            Fault::ReplicaDrains(at) => self.register_replica(at, "draining"),
-            Fault::ReplicaUnlisted(at) => self.store.deregister_replica(&format!("r{at}")),
-            Fault::ReplicaListed(at) => self.register_replica(at, "ready"),
-            Fault::WayDelays(at) => {
-                self.replica_proxies[at].set_mode(FaultProxyMode::Delaying(PROXY_DELAY_MS));
+            Fault::ReplicaFails(index) => self.replicas[index].set_mode(ReplicaMode::Failing),
+            Fault::ReplicaSheds(index) => self.replicas[index].set_mode(ReplicaMode::Shedding),
+            Fault::ReplicaSilent(index) => self.replicas[index].set_mode(ReplicaMode::Unresponsive),
+            Fault::ReplicaCrosses(index) => {
+                self.replicas[index].set_mode(ReplicaMode::WrongAttemptId);
             }
-            Fault::WayLosesRequests(at) => {
-                self.replica_proxies[at].set_mode(FaultProxyMode::DroppingRequests);
+            Fault::ReplicaSound(index) => self.replicas[index].set_mode(ReplicaMode::Answering(0)),
+            Fault::ReplicaDrains(index) => self.register_replica(index, "draining"),
+            Fault::ReplicaUnlisted(index) => self.store.deregister_replica(&format!("r{index}")),
+            Fault::ReplicaListed(index) => self.register_replica(index, "ready"),
+            Fault::WayDelays(index) => {
+                self.replica_proxies[index].set_mode(FaultProxyMode::Delaying(PROXY_DELAY_MS));
             }
-            Fault::WayLosesAnswers(at) => {
-                self.replica_proxies[at].set_mode(FaultProxyMode::DroppingAnswers);
+            Fault::WayLosesRequests(index) => {
+                self.replica_proxies[index].set_mode(FaultProxyMode::DroppingRequests);
             }
-            Fault::WaySound(at) => self.replica_proxies[at].set_mode(FaultProxyMode::PassThrough),
-            Fault::WayReset(at) => self.replica_proxies[at].reset_open_connections(),
-            Fault::WaySilenced(at) => self.replica_proxies[at].blackhole_open_connections(),
-            Fault::StoreWayCut(at) => {
-                self.store_proxies[at].set_mode(FaultProxyMode::DroppingAnswers);
+            Fault::WayLosesAnswers(index) => {
+                self.replica_proxies[index].set_mode(FaultProxyMode::DroppingAnswers);
             }
-            Fault::StoreWaySilenced(at) => self.store_proxies[at].blackhole_open_connections(),
-            Fault::StoreWaySound(at) => {
-                self.store_proxies[at].set_mode(FaultProxyMode::PassThrough);
+            Fault::WaySound(index) => {
+                self.replica_proxies[index].set_mode(FaultProxyMode::PassThrough);
             }
-            Fault::RelayWayDelays(at) => {
-                self.relay_proxies[at].set_mode(FaultProxyMode::Delaying(PROXY_DELAY_MS));
+            Fault::WayReset(index) => self.replica_proxies[index].reset_open_connections(),
+            Fault::WaySilenced(index) => self.replica_proxies[index].blackhole_open_connections(),
+            Fault::StoreWayCut(index) => {
+                self.store_proxies[index].set_mode(FaultProxyMode::DroppingAnswers);
             }
-            Fault::RelayWayLosesAsks(at) => {
-                self.relay_proxies[at].set_mode(FaultProxyMode::DroppingRequests);
+            Fault::StoreWaySilenced(index) => {
+                self.store_proxies[index].blackhole_open_connections();
             }
-            Fault::RelayWayLosesReplies(at) => {
-                self.relay_proxies[at].set_mode(FaultProxyMode::DroppingAnswers);
+            Fault::StoreWaySound(index) => {
+                self.store_proxies[index].set_mode(FaultProxyMode::PassThrough);
             }
-            Fault::RelayWaySound(at) => {
-                self.relay_proxies[at].set_mode(FaultProxyMode::PassThrough);
+            Fault::RelayWayDelays(index) => {
+                self.relay_proxies[index].set_mode(FaultProxyMode::Delaying(PROXY_DELAY_MS));
+            }
+            Fault::RelayWayLosesAsks(index) => {
+                self.relay_proxies[index].set_mode(FaultProxyMode::DroppingRequests);
+            }
+            Fault::RelayWayLosesReplies(index) => {
+                self.relay_proxies[index].set_mode(FaultProxyMode::DroppingAnswers);
+            }
+            Fault::RelayWaySound(index) => {
+                self.relay_proxies[index].set_mode(FaultProxyMode::PassThrough);
+            }
+            Fault::RelayWayReset(index) => self.relay_proxies[index].reset_open_connections(),
+            Fault::RelayWaySilenced(index) => {
+                self.relay_proxies[index].blackhole_open_connections();
             }
-            Fault::RelayWayReset(at) => self.relay_proxies[at].reset_open_connections(),
-            Fault::RelayWaySilenced(at) => self.relay_proxies[at].blackhole_open_connections(),
             Fault::Configure => self.publish_configuration(),
             Fault::StoreRefuses => self.store.set_mode(StoreMode::Refusing(503)),
             Fault::StoreSilent => self.store.set_mode(StoreMode::Unresponsive),
@@ -219,69 +241,76 @@
         Ok(())
     }
 
-    /// Ends every fault.
+    /// Clears every fault.
     pub fn clear_faults(&mut self) -> Result<()> {
         self.store.set_mode(StoreMode::Up);
-        for at in 0..REPLICA_COUNT {
-            self.replicas[at].set_mode(ReplicaMode::Answering(0));
-            self.register_replica(at, "ready");
+        for index in 0..REPLICA_COUNT {
+            self.replicas[index].set_mode(ReplicaMode::Answering(0));
+            self.register_replica(index, "ready");
         }
-        let ways =
+        let proxies =
             self.replica_proxies.iter().chain(&self.store_proxies).chain(&self.relay_proxies);
-        ways.for_each(|way| way.set_mode(FaultProxyMode::PassThrough));
+        proxies.for_each(|proxy| proxy.set_mode(FaultProxyMode::PassThrough));
         self.gateways.iter().try_for_each(|gateway| gateway.signal(Signal::SIGCONT))
     }
 
-    /// Stops and starts each gateway in turn, as for an update.
+    /// Restarts each gateway in turn, as an update does.
     pub async fn rolling_restart(&mut self) -> Result<()> {
-        for at in 0..self.gateways.len() {
-            self.apply_fault(&Fault::Terminate(at)).await?;
-            self.gateways[at].wait_for_log_line("a configuration is in force")?;
+        for index in 0..self.gateways.len() {
+            self.apply_fault(&Fault::Terminate(index)).await?;
+            self.gateways[index].wait_for_log_line("a configuration is in force")?;
         }
         Ok(())
     }
 
-    /// Has a replica say that it leaves; returns whether it got anything new after a while.
-    pub async fn gets_work_after_drain(&self, at: usize, after: Duration) -> bool {
-        self.register_replica(at, "draining");
+    /// Marks a replica as draining and returns whether it starts new requests between `after` and
+    /// twice `after` from then.
+    pub async fn receives_requests_after_drain(&self, index: usize, after: Duration) -> bool {
+        self.register_replica(index, "draining");
         tokio::time::sleep(after).await;
-        let runs = self.replicas[at].started_attempt_ids().len();
+        let runs = self.replicas[index].started_attempt_ids().len();
         tokio::time::sleep(after).await;
-        self.replicas[at].started_attempt_ids().len() > runs
+        self.replicas[index].started_attempt_ids().len() > runs
     }
 
-    fn restart_gateway(&mut self, at: usize) -> Result<()> {
-        self.gateways[at].wait_for_exit()?;
-        let gateway = self.start_gateway(at)?;
-        self.addresses.lock().unwrap()[at] = gateway.callers_address();
-        self.gateways[at] = gateway;
+    fn restart_gateway(&mut self, index: usize) -> Result<()> {
+        self.gateways[index].wait_for_exit()?;
+        let gateway = self.start_gateway(index)?;
+        self.addresses.lock().unwrap()[index] = gateway.callers_address();
+        self.gateways[index] = gateway;
         Ok(())
     }
 
-    fn start_gateway(&self, at: usize) -> Result<GatewayProcess> {
+    fn start_gateway(&self, index: usize) -> Result<GatewayProcess> {
         let seeds: Vec<SocketAddr> =
             self.gateways.iter().map(GatewayProcess::peers_address).collect();
-        let domain = ["west", "east"][at % 2];
-        let (store, way) = (self.store_proxies[at].address(), &self.relay_proxies[at]);
-        let name = format!("vm-{at}");
+        let failure_domain = ["west", "east"][index % 2];
+        let (store, proxy) = (self.store_proxies[index].address(), &self.relay_proxies[index]);
+        let name = format!("vm-{index}");
         let rollouts =
             json!({ "exposure_share": EXPOSURE_SHARE, "exposure_slack": EXPOSURE_SLACK_REQUESTS });
-        let relay = [("relay_advertise", way.address().to_string().into()), ("rollouts", rollouts)];
+        let more_settings =
+            [("relay_advertise", proxy.address().to_string().into()), ("rollouts", rollouts)];
         let gateway = GatewayProcess::start_with_settings(
             &self.binary,
             &name,
-            domain,
+            failure_domain,
             store,
             &seeds,
-            &relay,
+            &more_settings,
         )?;
-        way.set_target(gateway.relay_address());
+        proxy.set_target(gateway.relay_address());
         Ok(gateway)
     }
 
-    fn register_replica(&self, at: usize, state: &str) {
-        let zone = ["west", "east"][at % 2];
-        self.replicas[at].register_at(self.replica_proxies[at].address(), &self.store, zone, state);
+    fn register_replica(&self, index: usize, state: &str) {
+        let failure_domain = ["west", "east"][index % 2];
+        self.replicas[index].register_at(
+            self.replica_proxies[index].address(),
+            &self.store,
+            failure_domain,
+            state,
+        );
     }
 
     fn publish_configuration(&mut self) {
@@ -303,7 +332,7 @@
     }
 }
 
-/// The record that a replica's shard holds: both replicas of a shard have the same.
+/// Returns the record of a replica's shard; both replicas of a shard hold the same one.
 pub fn shard_record(replica: u8) -> Vec<u8> {
     vec![replica / 2 + 1; 16]
 }
--- a/crates/sassafrasproxy-soak/src/lib.rs
+++ b/crates/sassafrasproxy-soak/src/lib.rs
@@ -1,5 +1,5 @@
-//! A randomized soak: real gateway processes around stand-ins, faults from outside, and checks of
-//! what callers and replicas see.
+//! A randomized soak test: runs real gateway processes against stand-ins, injects faults from
+//! outside, and checks what callers and replicas see.
 
 #![allow(clippy::unwrap_used, reason = "the soak is a test and fails by panicking")]
 
@@ -17,72 +17,74 @@
 use crate::cluster::Cluster;
 use crate::schedule::FaultSchedule;
 
-/// What a soak plays.
+/// The settings of one soak.
 #[derive(Debug, Clone, Copy)]
 pub struct SoakSettings {
-    /// Decides the plan; the same seed gives the same plan.
+    /// The seed of the fault schedule; the same settings give the same schedule.
     pub seed: u64,
-    /// How long faults come.
+    /// The time during which faults are applied, in seconds.
     pub duration_s: u64,
-    /// How many gateways run.
+    /// The number of gateways.
     pub gateway_count: usize,
 }
 
-/// What a soak found.
+/// The results of one soak.
 #[derive(Debug, Clone, Default)]
 pub struct SoakReport {
-    /// Broken promises, each with the request and what was seen.
+    /// The violations found, each with the request, if it concerns one, and what was seen.
     pub violations: Vec<String>,
-    /// How many requests ended with each status; 0 where the connection ended without an answer.
+    /// The number of requests that ended with each status; 0 stands for no answer.
     pub status_counts: IndexMap<u16, usize>,
 }
 
 /// The time between two requests of one caller.
 const CALLER_INTERVAL: Duration = Duration::from_millis(8);
 
-/// How long after the last fault everything must work again.
+/// The time that the system gets to recover once all faults are cleared.
 ///
-/// Callers' connections that a fault silenced are given up after four seconds.
+/// It exceeds the four seconds after which callers give up on a stalled connection.
 const RECOVERY_TIME: Duration = Duration::from_secs(5);
 
-/// How long after its word a replica that leaves may get new work: the users' shortest bound.
+/// The time for which a replica may still get new requests after it reports that it drains.
+///
+/// This is the shortest bound that users set.
 const DRAIN_LIMIT: Duration = Duration::from_secs(3);
 
-/// How many callers ask at a time.
+/// The number of concurrent callers.
 const CALLER_COUNT: usize = 6;
 
-/// Prints the plan, plays it against the binary and checks what was seen.
+/// Prints the fault schedule, applies it to gateways that run `binary`, and returns the results.
 pub async fn run_soak(binary: &Path, settings: SoakSettings) -> Result<SoakReport> {
-    let plan = FaultSchedule::generate(settings);
-    println!("{plan}");
-    let mut fleet = Cluster::start(binary, settings.gateway_count).await?;
-    let check = Checker::default();
+    let schedule = FaultSchedule::generate(settings);
+    println!("{schedule}");
+    let mut cluster = Cluster::start(binary, settings.gateway_count).await?;
+    let checker = Checker::default();
     let callers: Vec<_> = (0..CALLER_COUNT)
         .map(|caller| {
-            tokio::spawn(check.clone().run_caller(caller, fleet.addresses(), CALLER_INTERVAL))
+            tokio::spawn(checker.clone().run_caller(caller, cluster.addresses(), CALLER_INTERVAL))
         })
         .collect();
     let start = Instant::now();
-    for step in plan.faults {
-        tokio::time::sleep(step.offset.saturating_sub(start.elapsed())).await;
-        fleet.apply_fault(&step.fault).await?;
+    for scheduled in schedule.faults {
+        tokio::time::sleep(scheduled.offset.saturating_sub(start.elapsed())).await;
+        cluster.apply_fault(&scheduled.fault).await?;
     }
     let end = Duration::from_secs(settings.duration_s);
     tokio::time::sleep(end.saturating_sub(start.elapsed())).await;
-    fleet.clear_faults()?;
+    cluster.clear_faults()?;
     tokio::time::sleep(RECOVERY_TIME).await;
-    check.begin_planned_restarts();
-    fleet.rolling_restart().await?;
-    let is_late = fleet.gets_work_after_drain(0, DRAIN_LIMIT).await;
-    check.stop();
+    checker.begin_planned_restarts();
+    cluster.rolling_restart().await?;
+    let receives_requests = cluster.receives_requests_after_drain(0, DRAIN_LIMIT).await;
+    checker.stop();
     for caller in callers {
         caller.await?;
     }
-    let CallerReport { violations: mut broken, status_counts: answers } = check.report();
-    broken.extend(check.check_replicas(&fleet));
-    if is_late {
-        broken.push("a replica that leaves got new work for too long".into());
+    let CallerReport { mut violations, status_counts } = checker.report();
+    violations.extend(checker.check_replicas(&cluster));
+    if receives_requests {
+        violations.push("a draining replica got new requests after the drain limit".into());
     }
-    broken.extend(fleet.violations());
-    Ok(SoakReport { violations: broken, status_counts: answers })
+    violations.extend(cluster.violations());
+    Ok(SoakReport { violations, status_counts })
 }
--- a/crates/sassafrasproxy-soak/src/schedule.rs
+++ b/crates/sassafrasproxy-soak/src/schedule.rs
@@ -1,4 +1,4 @@
-//! The faults of a soak, drawn from its seed.
+//! Draws the faults of a soak at random from its seed.
 
 use std::fmt::{self, Display, Formatter};
 use std::time::Duration;
@@ -8,72 +8,77 @@
 
 use crate::SoakSettings;
 
-/// Faults a second, on the average.
+/// The average number of faults a second.
 const FAULTS_PER_S: f64 = 2.5;
 
-/// All faults in order.
+/// The faults of one soak.
 #[derive(Debug, Clone)]
 pub struct FaultSchedule {
     seed: u64,
-    /// Each with the time from the start.
+    /// The faults, in ascending order of `offset`.
     pub faults: Vec<ScheduledFault>,
 }
 
-/// One fault at a time.
+/// A fault and the time at which it is applied.
 #[derive(Debug, Clone)]
 pub struct ScheduledFault {
-    /// From the start.
+    /// The time since the start of the soak.
     pub offset: Duration,
-    /// The fault.
     pub fault: Fault,
 }
 
-/// What happens; gateways and replicas by number.
+/// A fault, or the end of one; gateways and replicas are given by their index.
+///
+/// The variants with `Way` concern the proxies on the paths between processes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Fault {
-    /// A gateway is killed and starts again.
+    /// A gateway gets SIGKILL and is restarted.
     Kill(usize),
-    /// A gateway stands still or goes on.
+    /// A gateway is paused or resumed.
     Pause(usize),
     Resume(usize),
-    /// A gateway is told to end, and starts again once it has.
+    /// A gateway gets SIGTERM and is restarted once it has exited.
     Terminate(usize),
-    /// A gateway is told that its settings changed.
+    /// A gateway gets SIGHUP, which tells it that its settings changed.
     Hangup(usize),
-    /// A replica answers late, fails, sheds, falls silent, answers others' requests, or is sound.
+    /// A replica answers slowly, fails requests, sheds them, doesn't answer, answers with a wrong
+    /// attempt id, or works normally.
     ReplicaSlow(usize),
     ReplicaFails(usize),
     ReplicaSheds(usize),
     ReplicaSilent(usize),
     ReplicaCrosses(usize),
     ReplicaSound(usize),
-    /// A replica says that it leaves, is not listed any more, or is listed.
+    /// A replica is registered as draining, deregistered, or registered as ready.
     ReplicaDrains(usize),
     ReplicaUnlisted(usize),
     ReplicaListed(usize),
-    /// The way to a replica delays, loses requests or answers, or is sound.
+    /// The path to a replica delays data, drops requests, drops answers, or works normally.
     WayDelays(usize),
     WayLosesRequests(usize),
     WayLosesAnswers(usize),
     WaySound(usize),
-    /// The open connections to a replica are reset, or carry nothing any more.
+    /// The open connections to a replica are reset, or stall.
     WayReset(usize),
     WaySilenced(usize),
-    /// A gateway's way to the store loses answers, has its open connections silenced, or is sound.
+    /// A gateway's path to the store drops answers, has its open connections stalled, or works
+    /// normally.
     StoreWayCut(usize),
     StoreWaySilenced(usize),
     StoreWaySound(usize),
-    /// The way to a gateway's relay port delays, loses asks or replies, or is sound.
+    /// The path to a gateway's relay port delays data, drops calls, drops replies, or works
+    /// normally.
     RelayWayDelays(usize),
     RelayWayLosesAsks(usize),
     RelayWayLosesReplies(usize),
     RelayWaySound(usize),
-    /// The open connections to it are reset, or carry nothing any more.
+    /// The open connections to a gateway's relay port are reset, or stall.
     RelayWayReset(usize),
     RelayWaySilenced(usize),
-    /// A new configuration is written.
+    /// A new configuration is published.
     Configure,
-    /// The store refuses, falls silent, loses its answers, forgets its history, or is sound.
+    /// The store refuses calls, doesn't answer, drops the answers to writes, compacts its change
+    /// log, or works normally.
     StoreRefuses,
     StoreSilent,
     StoreLosesAnswers,
@@ -82,25 +87,25 @@
 }
 
 impl FaultSchedule {
-    /// Draws the plan of a seed.
+    /// Generates the schedule of the settings' seed.
     pub fn generate(settings: SoakSettings) -> Self {
         let mut rng = StdRng::seed_from_u64(settings.seed);
         let end_ms = settings.duration_s * 1_000;
-        let mut steps = Vec::new();
-        let mut at_ms = 0;
+        let mut faults = Vec::new();
+        let mut offset_ms = 0;
         loop {
-            at_ms += rng.random_range(1..=(2_000.0 / FAULTS_PER_S) as u64);
-            if at_ms >= end_ms {
-                return Self { seed: settings.seed, faults: steps };
+            offset_ms += rng.random_range(1..=(2_000.0 / FAULTS_PER_S) as u64);
+            if offset_ms >= end_ms {
+                return Self { seed: settings.seed, faults };
             }
-            let node = rng.random_range(0..settings.gateway_count);
+            let gateway = rng.random_range(0..settings.gateway_count);
             let replica = rng.random_range(0..crate::cluster::REPLICA_COUNT);
             let fault = match rng.random_range(0..45) {
-                0 => Fault::Kill(node),
-                1 => Fault::Pause(node),
-                2 | 3 => Fault::Resume(node),
-                4 => Fault::Terminate(node),
-                5 => Fault::Hangup(node),
+                0 => Fault::Kill(gateway),
+                1 => Fault::Pause(gateway),
+                2 | 3 => Fault::Resume(gateway),
+                4 => Fault::Terminate(gateway),
+                5 => Fault::Hangup(gateway),
                 6 => Fault::ReplicaSlow(replica),
                 7 => Fault::ReplicaFails(replica),
                 8 => Fault::ReplicaSheds(replica),
@@ -122,17 +127,17 @@
                 29..=31 => Fault::WaySound(replica),
                 32 => Fault::WayReset(replica),
                 33 => Fault::WaySilenced(replica),
-                34 => Fault::StoreWayCut(node),
-                35 => Fault::StoreWaySilenced(node),
-                36 | 37 => Fault::StoreWaySound(node),
-                38 => Fault::RelayWayDelays(node),
-                39 => Fault::RelayWayLosesAsks(node),
-                40 => Fault::RelayWayLosesReplies(node),
-                41 => Fault::RelayWayReset(node),
-                42 => Fault::RelayWaySilenced(node),
-                _ => Fault::RelayWaySound(node),
+                34 => Fault::StoreWayCut(gateway),
+                35 => Fault::StoreWaySilenced(gateway),
+                36 | 37 => Fault::StoreWaySound(gateway),
+                38 => Fault::RelayWayDelays(gateway),
+                39 => Fault::RelayWayLosesAsks(gateway),
+                40 => Fault::RelayWayLosesReplies(gateway),
+                41 => Fault::RelayWayReset(gateway),
+                42 => Fault::RelayWaySilenced(gateway),
+                _ => Fault::RelayWaySound(gateway),
             };
-            steps.push(ScheduledFault { offset: Duration::from_millis(at_ms), fault });
+            faults.push(ScheduledFault { offset: Duration::from_millis(offset_ms), fault });
         }
     }
 }
@@ -140,8 +145,8 @@
 impl Display for FaultSchedule {
     fn fmt(&self, f: &mut Formatter<'_>) -> fmt::Result {
         write!(f, "seed {}:", self.seed)?;
-        for step in &self.faults {
-            write!(f, " {}ms {:?}", step.offset.as_millis(), step.fault)?;
+        for scheduled in &self.faults {
+            write!(f, " {}ms {:?}", scheduled.offset.as_millis(), scheduled.fault)?;
         }
         Ok(())
     }
