--- a/crates/sassafrasproxy-standin/examples/faults.rs
+++ b/crates/sassafrasproxy-standin/examples/faults.rs
@@ -1,4 +1,4 @@
-//! Measures what faults and moves cost under load, on eight nodes in one process.
+//! Measures the effects of faults and operator changes under load, on eight nodes in one process.
 
 use std::time::{Duration, Instant};
 
@@ -16,26 +16,29 @@
 use serde_json::json;
 use tokio::task::JoinSet;
 
-/// The nodes of today.
+/// The number of nodes in the users' deployment.
 const NODE_COUNT: usize = 8;
 
-/// The failure domains of the measured system.
+/// The failure domains of the measured cluster.
 const FAILURE_DOMAINS: [&str; 4] = ["galway-1", "galway-2", "galway-3", "galway-4"];
 
-/// How long a fleet is loaded before it is measured, so that limits have grown.
+/// The time for which a cluster is under load before it is measured, so that the concurrency
+/// limits can grow.
 const WARM_UP_TIME: Duration = Duration::from_secs(6);
 
 #[tokio::main]
 async fn main() -> Result<()> {
     let matches = Command::new("faults")
-        .about("Measures faults and moves under load")
+        .about("Measures the effects of faults and changes under load")
         .arg(
-            Arg::new("scenario").required(true).help("domain, silence, roll, poison, cold, claims"),
+            Arg::new("scenario")
+                .required(true)
+                .help("The scenario to run: domain, silence, roll, poison, cold or claims"),
         )
         .arg(
             Arg::new("rounds")
                 .long("rounds")
-                .help("How often the fault is repeated")
+                .help("How often the fault is repeated; claims ignores it")
                 .value_parser(value_parser!(usize))
                 .default_value("20"),
         )
@@ -48,22 +51,23 @@
         "poison" => measure_crashing_request(rounds).await,
         "cold" => measure_cold_starts(rounds).await,
         "claims" => measure_claims().await,
-        _ => bail!("no such scenario; see --help"),
+        _ => bail!("unknown scenario; see --help for the list"),
     }
 }
 
-/// Takes a failure domain out and in, and times its last new work from the operator's command.
+/// Takes failure domains out of service and brings them back; measures the time from the
+/// operator's command to the last or first new request in the domain.
 async fn measure_domain_changes(rounds: usize) -> Result<()> {
-    let fleet = Cluster::start(&cluster_setup(small_services(10), Tuning::default())).await?;
-    let plan = load_plan(&fleet, 100.0, 5, rounds as u64 * 2 * OBSERVATION_TIME.as_secs() + 1);
-    run_load(&fleet, &LoadPlan { duration: WARM_UP_TIME, ..plan.clone() }).await;
-    let platform = PlatformClient::new(fleet.platform.url())?;
-    let moves = async {
+    let cluster = Cluster::start(&cluster_setup(small_services(10), Tuning::default())).await?;
+    let plan = load_plan(&cluster, 100.0, 5, rounds as u64 * 2 * OBSERVATION_TIME.as_secs() + 1);
+    run_load(&cluster, &LoadPlan { duration: WARM_UP_TIME, ..plan.clone() }).await;
+    let platform = PlatformClient::new(cluster.platform.url())?;
+    let changes = async {
         let mut last_work_ms = Vec::new();
         let mut first_work_ms = Vec::new();
         for round in 0..rounds {
             let name: EcoString = FAILURE_DOMAINS[round % FAILURE_DOMAINS.len()].into();
-            let upstreams = upstreams_in_domain(&fleet, &name);
+            let upstreams = upstreams_in_domain(&cluster, &name);
             let start = Instant::now();
             publish_change(&platform, PublishRequest::DomainOut(name.clone())).await?;
             last_work_ms.push(time_runs_ms(&upstreams, start, false).await);
@@ -73,74 +77,78 @@
         }
         eyre::Ok((last_work_ms, first_work_ms))
     };
-    let (report, moves) = tokio::join!(run_load(&fleet, &plan), moves);
-    let (last_work_ms, first_work_ms) = moves?;
-    println!("last new work after `domain out`: {}", format_quantiles(last_work_ms));
-    println!("first new work after `domain in`: {}", format_quantiles(first_work_ms));
-    println!("load meanwhile: {report}");
+    let (report, changes) = tokio::join!(run_load(&cluster, &plan), changes);
+    let (last_work_ms, first_work_ms) = changes?;
+    println!("last new request after `domain out`: {}", format_quantiles(last_work_ms));
+    println!("first new request after `domain in`: {}", format_quantiles(first_work_ms));
+    println!("load during the changes: {report}");
     Ok(())
 }
 
-/// How long each move of a failure domain is watched.
+/// The time for which upstreams are observed after each change of a failure domain.
 const OBSERVATION_TIME: Duration = Duration::from_secs(2);
 
-/// The time from a start to the last new run, or to the first, in milliseconds.
+/// Returns the time from `start` to the last new run, or to the first, in milliseconds; 0 if there
+/// is none.
 async fn time_runs_ms(upstreams: &[&UpstreamStandIn], start: Instant, is_first: bool) -> f64 {
-    let count = || upstreams.iter().map(|one| one.run_count()).sum::<u64>();
-    let (mut known, mut changed) = (count(), Duration::ZERO);
+    let count = || upstreams.iter().map(|upstream| upstream.run_count()).sum::<u64>();
+    let (mut last_count, mut changed_after) = (count(), Duration::ZERO);
     while start.elapsed() < OBSERVATION_TIME {
         tokio::time::sleep(Duration::from_millis(1)).await;
-        if count() == known || (is_first && changed > Duration::ZERO) {
+        if count() == last_count || (is_first && changed_after > Duration::ZERO) {
             continue;
         }
-        (known, changed) = (count(), start.elapsed());
+        (last_count, changed_after) = (count(), start.elapsed());
     }
-    changed.as_secs_f64() * 1_000.0
+    changed_after.as_secs_f64() * 1_000.0
 }
 
-/// Silences every open upstream connection, and times the searches that meet it.
+/// Stalls every open upstream connection once a second and measures searches meanwhile.
 async fn measure_stalled_connections(rounds: usize) -> Result<()> {
-    let fleet = Cluster::start(&cluster_setup(small_services(10), Tuning::default())).await?;
-    let plan = load_plan(&fleet, 100.0, 5, 2);
-    run_load(&fleet, &LoadPlan { duration: WARM_UP_TIME, ..plan.clone() }).await;
-    let calm = run_load(&fleet, &plan).await;
-    println!("calm:    {calm}");
-    let silences = async {
+    let cluster = Cluster::start(&cluster_setup(small_services(10), Tuning::default())).await?;
+    let plan = load_plan(&cluster, 100.0, 5, 2);
+    run_load(&cluster, &LoadPlan { duration: WARM_UP_TIME, ..plan.clone() }).await;
+    let baseline = run_load(&cluster, &plan).await;
+    println!("without stalls: {baseline}");
+    let stalls = async {
         for _ in 0..rounds {
-            for upstream in fleet.upstreams.values().flatten() {
+            for upstream in cluster.upstreams.values().flatten() {
                 upstream.apply_fault(UpstreamFault::SilenceConnections);
             }
             tokio::time::sleep(Duration::from_secs(1)).await;
         }
     };
     let plan = LoadPlan { duration: Duration::from_secs(rounds as u64), ..plan };
-    let (report, ()) = tokio::join!(run_load(&fleet, &plan), silences);
-    println!("silenced every second: {report}");
+    let (report, ()) = tokio::join!(run_load(&cluster, &plan), stalls);
+    println!("connections stalled every second: {report}");
     Ok(())
 }
 
-/// Rolls a new snapshot through the replicas one by one.
+/// Replaces the snapshot of all replicas one by one, and measures searches meanwhile.
 async fn measure_snapshot_rolls(rounds: usize) -> Result<()> {
     let services = small_services(10);
-    let fleet = Cluster::start(&cluster_setup(services.clone(), Tuning::default())).await?;
-    let plan = load_plan(&fleet, 100.0, 5, 5 * rounds as u64);
-    run_load(&fleet, &LoadPlan { duration: WARM_UP_TIME, ..plan.clone() }).await;
+    let cluster = Cluster::start(&cluster_setup(services.clone(), Tuning::default())).await?;
+    let plan = load_plan(&cluster, 100.0, 5, 5 * rounds as u64);
+    run_load(&cluster, &LoadPlan { duration: WARM_UP_TIME, ..plan.clone() }).await;
     let rolls = async {
         let pause = Duration::from_millis(100);
         for round in 0..rounds as u64 {
             let (old, new) = (held_snapshot(7 + round), held_snapshot(8 + round));
-            for upstream in fleet.upstreams.values().flatten() {
+            for upstream in cluster.upstreams.values().flatten() {
                 upstream.apply_fault(UpstreamFault::Hold(vec![old.clone(), new.clone()]));
                 tokio::time::sleep(pause).await;
             }
-            for upstream in fleet.upstreams.values().flatten() {
+            for upstream in cluster.upstreams.values().flatten() {
                 upstream.apply_fault(UpstreamFault::Hold(vec![new.clone()]));
                 tokio::time::sleep(pause).await;
             }
         }
     };
-    let (report, ()) = tokio::join!(run_load(&fleet, &plan), rolls);
-    println!("during {rounds} rolls: {:.2} % in full; {report}", report.complete_share() * 100.0);
+    let (report, ()) = tokio::join!(run_load(&cluster, &plan), rolls);
+    println!(
+        "during {rounds} snapshot rolls: {:.2} % complete; {report}",
+        report.complete_share() * 100.0
+    );
     Ok(())
 }
 
@@ -148,12 +156,12 @@
     HeldSnapshot { id, shards: shard_names(1), layout: shard_names(1) }
 }
 
-/// Sends one crashing request again and again through all nodes, under load.
+/// Sends a request that crashes replicas repeatedly through all nodes, under load.
 async fn measure_crashing_request(rounds: usize) -> Result<()> {
-    let fleet = Cluster::start(&cluster_setup(small_services(2), Tuning::default())).await?;
-    let plan = load_plan(&fleet, 50.0, 1, 6);
-    run_load(&fleet, &LoadPlan { duration: WARM_UP_TIME, ..plan.clone() }).await;
-    for upstream in fleet.upstreams.values().flatten() {
+    let cluster = Cluster::start(&cluster_setup(small_services(2), Tuning::default())).await?;
+    let plan = load_plan(&cluster, 50.0, 1, 6);
+    run_load(&cluster, &LoadPlan { duration: WARM_UP_TIME, ..plan.clone() }).await;
+    for upstream in cluster.upstreams.values().flatten() {
         upstream.apply_fault(UpstreamFault::CrashOn(Some("kill".into())));
     }
     let body = json!({ "services": [plan.services[0]], "kind": "search", "body": "kill" });
@@ -161,69 +169,74 @@
     let sends = async {
         let mut sends = JoinSet::new();
         for round in 0..rounds {
-            let url = format!("http://{}/v1/query", fleet.nodes[round % NODE_COUNT].address());
+            let url = format!("http://{}/v1/query", cluster.nodes[round % NODE_COUNT].address());
             sends.spawn(client.post(url).json(&body).send());
             tokio::time::sleep(Duration::from_millis(50)).await;
         }
         sends.join_all().await.len()
     };
-    let (report, sent) = tokio::join!(run_load(&fleet, &plan), sends);
-    let deaths: u32 = fleet.upstreams.values().flatten().map(UpstreamStandIn::crash_count).sum();
-    println!("{sent} crashing requests killed {deaths} replicas; neighbours: {report}");
+    let (report, sent) = tokio::join!(run_load(&cluster, &plan), sends);
+    let crashes: u32 = cluster.upstreams.values().flatten().map(UpstreamStandIn::crash_count).sum();
+    println!("{sent} crashing requests caused {crashes} replica crashes; other requests: {report}");
     Ok(())
 }
 
-/// Restarts replicas under load; one that is cold falls over when it runs two at once.
+/// Restarts replicas under load; a cold replica crashes when it runs two requests at once.
 async fn measure_cold_starts(rounds: usize) -> Result<()> {
-    let is_direct = ControlPolicy { bypasses_homes: true, ..ControlPolicy::default() };
-    let direct = Tuning { control: is_direct, ..Tuning::default() };
+    let direct_policy = ControlPolicy { bypasses_homes: true, ..ControlPolicy::default() };
+    let direct = Tuning { control: direct_policy, ..Tuning::default() };
     for (label, tuning) in [("homes", Tuning::default()), ("direct", direct)] {
         let cold = Some(ColdStart { slowdown_factor: 4.0, warm_up_answers: 20, max_in_flight: 1 });
         let services = small_services(2)
             .into_iter()
-            .map(|one| ServiceSetup { cold_start: cold, ..one })
+            .map(|service| ServiceSetup { cold_start: cold, ..service })
             .collect();
-        let fleet = Cluster::start(&cluster_setup(services, tuning)).await?;
-        let plan = load_plan(&fleet, 200.0, 1, rounds as u64 * 2);
-        run_load(&fleet, &LoadPlan { duration: WARM_UP_TIME, ..plan.clone() }).await;
+        let cluster = Cluster::start(&cluster_setup(services, tuning)).await?;
+        let plan = load_plan(&cluster, 200.0, 1, rounds as u64 * 2);
+        run_load(&cluster, &LoadPlan { duration: WARM_UP_TIME, ..plan.clone() }).await;
         let restarts = async {
             for round in 0..rounds {
-                let upstreams: Vec<_> = fleet.upstreams.values().flatten().collect();
+                let upstreams: Vec<_> = cluster.upstreams.values().flatten().collect();
                 let down_ms = 100;
                 upstreams[round % upstreams.len()].apply_fault(UpstreamFault::Crash { down_ms });
                 tokio::time::sleep(Duration::from_secs(2)).await;
             }
         };
-        let (report, ()) = tokio::join!(run_load(&fleet, &plan), restarts);
-        let deaths: u32 =
-            fleet.upstreams.values().flatten().map(UpstreamStandIn::crash_count).sum();
-        println!("{label}: {rounds} restarts, {} more deaths; {report}", deaths as usize - rounds);
+        let (report, ()) = tokio::join!(run_load(&cluster, &plan), restarts);
+        let crashes: u32 =
+            cluster.upstreams.values().flatten().map(UpstreamStandIn::crash_count).sum();
+        println!(
+            "{label}: {rounds} restarts, {} further crashes; {report}",
+            crashes as usize - rounds
+        );
     }
     Ok(())
 }
 
-/// Offers reorders at several rates and counts the store's writes.
+/// Sends non-idempotent reorders at several rates and measures the store's write rate.
 async fn measure_claims() -> Result<()> {
     for rate in [20, 100, 400] {
         let services = small_services(20).into_iter();
-        let quick = services.map(|one| ServiceSetup { deadline_ms: 1_000, ..one }).collect();
-        let fleet = Cluster::start(&cluster_setup(quick, Tuning::default())).await?;
-        let search = load_plan(&fleet, f64::from(rate), 1, 5);
-        run_load(&fleet, &LoadPlan { duration: WARM_UP_TIME, ..search.clone() }).await;
-        let baseline = run_load(&fleet, &search).await;
-        let before = store_write_count(&fleet);
-        let reorders = LoadPlan { kind: "reorder".into(), ..search };
-        let report = run_load(&fleet, &reorders).await;
+        let services =
+            services.map(|service| ServiceSetup { deadline_ms: 1_000, ..service }).collect();
+        let cluster = Cluster::start(&cluster_setup(services, Tuning::default())).await?;
+        let search_plan = load_plan(&cluster, f64::from(rate), 1, 5);
+        run_load(&cluster, &LoadPlan { duration: WARM_UP_TIME, ..search_plan.clone() }).await;
+        let baseline = run_load(&cluster, &search_plan).await;
+        let before = store_write_count(&cluster);
+        let reorder_plan = LoadPlan { kind: "reorder".into(), ..search_plan };
+        let report = run_load(&cluster, &reorder_plan).await;
         tokio::time::sleep(Duration::from_secs(1)).await;
-        let per_s = (store_write_count(&fleet) - before) as f64 / reorders.duration.as_secs_f64();
+        let per_s =
+            (store_write_count(&cluster) - before) as f64 / reorder_plan.duration.as_secs_f64();
         println!("{rate}/s: {per_s:.0} store writes/s; searches: {baseline}");
         println!("{rate}/s: reorders: {report}");
     }
     Ok(())
 }
 
-fn store_write_count(fleet: &Cluster) -> u64 {
-    fleet.platform.call_counts().get("write").copied().unwrap_or(0)
+fn store_write_count(cluster: &Cluster) -> u64 {
+    cluster.platform.call_counts().get("write").copied().unwrap_or(0)
 }
 
 fn small_services(count: usize) -> Vec<ServiceSetup> {
@@ -240,7 +253,7 @@
 }
 
 fn load_plan(
-    fleet: &Cluster,
+    cluster: &Cluster,
     rate_per_s: f64,
     services_per_query: usize,
     seconds: u64,
@@ -248,7 +261,7 @@
     LoadPlan {
         rate_per_s,
         duration: Duration::from_secs(seconds),
-        services: fleet.services.keys().cloned().collect(),
+        services: cluster.services.keys().cloned().collect(),
         services_per_query,
         kind: "search".into(),
         min_coverage: 0.0,
@@ -256,21 +269,21 @@
     }
 }
 
-/// The replicas in a failure domain.
-fn upstreams_in_domain<'a>(fleet: &'a Cluster, domain: &str) -> Vec<&'a UpstreamStandIn> {
-    let specs = fleet.services.values().flat_map(|service| &service.upstreams);
-    let pairs = specs.zip(fleet.upstreams.values().flatten());
-    pairs.filter(|(spec, _)| spec.failure_domain == domain).map(|(_, one)| one).collect()
+/// Returns the replicas in a failure domain.
+fn upstreams_in_domain<'a>(cluster: &'a Cluster, domain: &str) -> Vec<&'a UpstreamStandIn> {
+    let specs = cluster.services.values().flat_map(|service| &service.upstreams);
+    let pairs = specs.zip(cluster.upstreams.values().flatten());
+    pairs.filter(|(spec, _)| spec.failure_domain == domain).map(|(_, upstream)| upstream).collect()
 }
 
 async fn publish_change(platform: &PlatformClient, change: PublishRequest) -> Result<()> {
     match publish(platform, change, "operator".into(), |_| {}).await {
         PublishOutcome::Done { .. } => Ok(()),
-        end => bail!("publishing ended as {end:?}"),
+        outcome => bail!("the change was not published: {outcome:?}"),
     }
 }
 
-/// The median, the 99th percentile and the most of some times.
+/// Formats the median, the 99th percentile and the maximum of some times.
 fn format_quantiles(mut times_ms: Vec<f64>) -> String {
     times_ms.sort_by(f64::total_cmp);
     let at = |quantile: f64| times_ms[((times_ms.len() - 1) as f64 * quantile).round() as usize];
--- a/crates/sassafrasproxy-standin/examples/load.rs
+++ b/crates/sassafrasproxy-standin/examples/load.rs
@@ -1,4 +1,5 @@
-//! Offers a load to two configurations in turn, so that their ratio comes from one run.
+//! Measures configurations in turn under the same load, so that they can be compared within one
+//! run.
 
 use std::time::Duration;
 
@@ -12,13 +13,14 @@
     Cluster, ClusterSetup, LoadPlan, LoadReport, ServiceSetup, Stragglers, run_load,
 };
 
-/// How long a fleet is loaded before it is measured, so that limits have grown.
+/// The time for which a cluster is under load before it is measured, so that the concurrency
+/// limits can grow.
 const WARM_UP_TIME: Duration = Duration::from_secs(6);
 
-/// The nodes of today.
+/// The number of nodes in the users' deployment.
 const NODE_COUNT: usize = 8;
 
-/// One configuration to measure.
+/// A configuration to measure and its load.
 struct Case {
     label: &'static str,
     setup: ClusterSetup,
@@ -29,9 +31,16 @@
 async fn main() -> Result<()> {
     let matches = Command::new("load")
         .about("Measures two configurations in one run")
-        .arg(Arg::new("scenario").required(true).help("hedging, overload or floor"))
-        .arg(number_arg("rate", "Queries a second"))
-        .arg(number_arg("seconds", "How long each configuration is measured").default_value("10"))
+        .arg(
+            Arg::new("scenario")
+                .required(true)
+                .help("The scenario to run: hedging, overload or floor"),
+        )
+        .arg(number_arg("rate", "Queries per second"))
+        .arg(
+            number_arg("seconds", "How long each configuration is measured, in seconds")
+                .default_value("10"),
+        )
         .arg(number_arg("seed", "The seed of arrivals and service times").default_value("1"))
         .get_matches();
     let seconds = matches.get_one::<u64>("seconds").copied().unwrap_or(10);
@@ -42,7 +51,7 @@
         "hedging" => hedging_cases(rate.unwrap_or(60.0), seed),
         "overload" => overload_cases(rate.unwrap_or(0.0), seed),
         "floor" => lower_bound_cases(rate.unwrap_or(60.0), seed),
-        _ => bail!("no such scenario; see --help"),
+        _ => bail!("unknown scenario; see --help for the list"),
     };
     println!("seed {seed}");
     for case in &mut cases {
@@ -53,26 +62,30 @@
     Ok(())
 }
 
-/// Warms a fleet up and measures it.
+/// Starts and warms up a cluster, and measures it under the case's load.
 async fn measure(case: &Case) -> Result<LoadReport> {
-    let fleet = Cluster::start(&case.setup).await?;
+    let cluster = Cluster::start(&case.setup).await?;
     let warm_up = LoadPlan {
         rate_per_s: case.plan.rate_per_s.min(100.0),
         duration: WARM_UP_TIME,
         ..case.plan.clone()
     };
-    run_load(&fleet, &warm_up).await;
-    fleet.upstreams.values().flatten().for_each(|upstream| drop(upstream.take_service_times_ms()));
-    let report = run_load(&fleet, &case.plan).await;
-    print_lower_bound(&fleet, &case.plan);
-    print_events(&fleet).await?;
+    run_load(&cluster, &warm_up).await;
+    cluster
+        .upstreams
+        .values()
+        .flatten()
+        .for_each(|upstream| drop(upstream.take_service_times_ms()));
+    let report = run_load(&cluster, &case.plan).await;
+    print_lower_bound(&cluster, &case.plan);
+    print_events(&cluster).await?;
     Ok(report)
 }
 
-/// Prints how often each kind of event, queries aside, stands on the time line of all nodes.
-async fn print_events(fleet: &Cluster) -> Result<()> {
+/// Prints the number of events of each kind on the timelines of all nodes, without ended queries.
+async fn print_events(cluster: &Cluster) -> Result<()> {
     let mut counts: IndexMap<EcoString, u64> = IndexMap::new();
-    for node in &fleet.nodes {
+    for node in &cluster.nodes {
         let url = format!("http://{}/v1/timeline", node.address());
         let events: Vec<serde_json::Value> = reqwest::get(url).await?.json().await?;
         for event in events {
@@ -85,9 +98,10 @@
     Ok(())
 }
 
-/// Prints what the slowest of as many ideal sub-requests as a query has would take.
-fn print_lower_bound(fleet: &Cluster, plan: &LoadPlan) {
-    let mut times: Vec<f32> = fleet
+/// Prints a lower bound of the queries' p99 latency: the p99 of the slowest service time among as
+/// many sub-requests as a query has.
+fn print_lower_bound(cluster: &Cluster, plan: &LoadPlan) {
+    let mut times: Vec<f32> = cluster
         .upstreams
         .values()
         .flatten()
@@ -97,44 +111,44 @@
         return;
     }
     times.sort_by(f32::total_cmp);
-    // The 99th percentile of the slowest of n is the 0.99^(1/n) quantile of one.
+    // The 99th percentile of the maximum of n times is the 0.99^(1/n) quantile of a single time.
     let quantile = 0.99_f64.powf(1.0 / plan.services_per_query as f64);
     let index = ((times.len() as f64 * quantile) as usize).min(times.len() - 1);
     println!(
-        "  floor: p99 of the slowest of {}: {:.1} ms of service time",
+        "  lower bound: p99 of the slowest of {}: {:.1} ms of service time",
         plan.services_per_query, times[index]
     );
 }
 
-/// Fifty shards a query, one sub-request in a hundred twenty times slower.
+/// Queries over 50 shards, without and with hedges; 1 % of sub-requests take 20 times longer.
 fn hedging_cases(rate_per_s: f64, seed: u64) -> Vec<Case> {
-    let straggle = Some(Stragglers { probability: 0.01, factor: 20.0 });
-    let services = small_services(50, straggle, 500);
+    let stragglers = Some(Stragglers { probability: 0.01, factor: 20.0 });
+    let services = small_services(50, stragglers, 500);
     [("without hedges", 0.0), ("with hedges", 0.05)]
-        .map(|(label, extra_fraction)| {
-            let tuning = Tuning { budget_fraction: extra_fraction, ..Tuning::default() };
+        .map(|(label, budget_fraction)| {
+            let tuning = Tuning { budget_fraction, ..Tuning::default() };
             new_case(label, services.clone(), tuning, rate_per_s, 50, seed)
         })
         .into()
 }
 
-/// Twice what the upstreams bear, through homes and from every node directly.
+/// Twice the load that upstreams can serve, through homes and sent by every node directly.
 fn overload_cases(rate_per_s: f64, seed: u64) -> Vec<Case> {
     let slow = |service| ServiceSetup { mean_service_ms: 20.0, ..service };
     let services: Vec<ServiceSetup> = small_services(2, None, 300).into_iter().map(slow).collect();
-    // Each query asks one service; a slot is taken from the send until the answer is back.
-    let bears = services.iter().map(|service| {
+    // Each query asks one service and holds a slot from the send until the answer arrives.
+    let capacities = services.iter().map(|service| {
         let slots = service.replica_count as f64 * f64::from(service.slots);
         slots * 1_000.0 / (service.mean_service_ms + service.round_trip_ms)
     });
-    let rate_per_s = if rate_per_s > 0.0 { rate_per_s } else { 2.0 * bears.sum::<f64>() };
+    let rate_per_s = if rate_per_s > 0.0 { rate_per_s } else { 2.0 * capacities.sum::<f64>() };
     let direct = ControlPolicy { bypasses_homes: true, ..ControlPolicy::default() };
     [("homes", Tuning::default()), ("direct", Tuning { control: direct, ..Tuning::default() })]
         .map(|(label, tuning)| new_case(label, services.clone(), tuning, rate_per_s, 1, seed))
         .into()
 }
 
-/// Fifty shards a query without stragglers, beside the floor of their service times.
+/// Queries over 50 shards without stragglers, to compare with the lower bound of service times.
 fn lower_bound_cases(rate_per_s: f64, seed: u64) -> Vec<Case> {
     let services = small_services(50, None, 500);
     vec![new_case("homes", services, Tuning::default(), rate_per_s, 50, seed)]
@@ -170,11 +184,11 @@
 
 fn small_services(
     count: usize,
-    straggle: Option<Stragglers>,
+    stragglers: Option<Stragglers>,
     deadline_ms: u64,
 ) -> Vec<ServiceSetup> {
     let service = |number| ServiceSetup {
-        stragglers: straggle,
+        stragglers,
         deadline_ms,
         ..ServiceSetup::small(eco_format!("archive-{number}"), "catalogue")
     };
--- a/crates/sassafrasproxy-standin/examples/slopes.rs
+++ b/crates/sassafrasproxy-standin/examples/slopes.rs
@@ -1,6 +1,7 @@
-//! Measures how state, messages and processor time grow, and fits a line to each.
+//! Measures how state, messages and processor time grow with the size of a cluster, and fits a
+//! line to each.
 //!
-//! Every figure of docs/CAPACITY.md is worked out from this table.
+//! Every figure of docs/CAPACITY.md is derived from this table.
 
 use std::collections::VecDeque;
 use std::hint::black_box;
@@ -23,29 +24,30 @@
     UpstreamStatus,
 };
 
-/// The sizes that lines are fitted over.
+/// The numbers of members that are measured.
 const MEMBER_COUNTS: [usize; 4] = [8, 64, 250, 1_000];
 
-/// Replicas for each member at the planned size; groups have two replicas each.
+/// The number of replicas per member at the planned size; each group has two replicas.
 const REPLICAS_PER_MEMBER: f64 = 7.7;
 
-/// The failure domains at the planned size.
+/// The number of failure domains at the planned size.
 const FAILURE_DOMAIN_COUNT: usize = 18;
 
-/// One measured quantity over a growing size.
+/// Measurements of one quantity at several sizes.
 struct ScalingSeries {
     name: &'static str,
     unit: &'static str,
     size_unit: &'static str,
+    /// Pairs of a size and the quantity measured at it.
     points: Vec<(f64, f64)>,
 }
 
 fn main() -> Result<()> {
-    let mut slopes = control_series()?;
-    slopes.extend(configuration_series()?);
-    slopes.push(query_series());
-    for slope in &slopes {
-        slope.print();
+    let mut all_series = control_series()?;
+    all_series.extend(configuration_series()?);
+    all_series.push(query_series());
+    for series in &all_series {
+        series.print();
     }
     println!("\nper message or event:");
     print_scheduler_cost();
@@ -53,12 +55,19 @@
     Ok(())
 }
 
-/// Control state, time and bytes over the number of members.
+/// Measures control state, time and bytes over the number of members.
 fn control_series() -> Result<Vec<ScalingSeries>> {
-    let mut heartbeat_us = ScalingSeries::new("taking a heartbeat in", "us", "member");
-    let mut heartbeat_bytes = ScalingSeries::new("a heartbeat in calm", "bytes", "member");
-    let mut newcomer_bytes = ScalingSeries::new("a heartbeat to a newcomer", "bytes", "member");
-    let mut homes_us = ScalingSeries::new("taking a death in (homes anew)", "us", "member");
+    let mut heartbeat_us =
+        ScalingSeries::new("receiving and answering a heartbeat", "us", "member");
+    let mut heartbeat_bytes =
+        ScalingSeries::new("a heartbeat without pending updates", "bytes", "member");
+    let mut newcomer_bytes =
+        ScalingSeries::new("the heartbeat that answers a new member", "bytes", "member");
+    let mut homes_us = ScalingSeries::new(
+        "processing the death of a member (homes are reassigned)",
+        "us",
+        "member",
+    );
     let mut memory_kb = ScalingSeries::new("control state", "KB", "member");
     for members in MEMBER_COUNTS {
         let before_kb = resident_kb()?;
@@ -73,9 +82,9 @@
         });
         heartbeat_us.points.push((members as f64, time_us));
         heartbeat_bytes.points.push((members as f64, json_bytes(&heartbeat)? as f64));
-        let stranger = ControlPlane::new(&member_update(members + 1), [], policy(), 1, 0)
+        let newcomer = ControlPlane::new(&member_update(members + 1), [], policy(), 1, 0)
             .heartbeat(Hlc::default(), None);
-        let answer = control.heartbeat(Hlc::default(), Some(&stranger));
+        let answer = control.heartbeat(Hlc::default(), Some(&newcomer));
         newcomer_bytes.points.push((members as f64, json_bytes(&answer)? as f64));
         let rounds = 20.min(members - 2);
         let time_us = mean_time_us(rounds, |round| {
@@ -89,7 +98,7 @@
     Ok(vec![heartbeat_us, heartbeat_bytes, newcomer_bytes, homes_us, memory_kb])
 }
 
-/// A control reducer that knows all members, the configuration and every group's holdings.
+/// Returns a control reducer that knows all members, the configuration and all groups' holdings.
 fn converged_control(members: usize) -> ControlPlane {
     let mut control = ControlPlane::new(&member_update(0), [], policy(), 1, 0);
     for number in 1..members {
@@ -97,7 +106,7 @@
         let heartbeat = peer.heartbeat(Hlc::default(), None);
         control.step(1, ControlEvent::HeartbeatReceived(heartbeat));
     }
-    // News of the joins have gone out.
+    // Sends enough heartbeats that no updates about the joins stay pending.
     for _ in 0..members * 40 {
         control.heartbeat(Hlc::default(), None);
     }
@@ -110,18 +119,19 @@
         by_home.entry(ranked[0].clone()).or_default().push(group_holdings(group, &ranked[0]));
     }
     for (node, groups) in by_home {
-        let heard = NodeHoldings { node, version: 1, is_whole: true, groups };
-        control.step(3, ControlEvent::HoldingsReceived(heard));
+        let holdings = NodeHoldings { node, version: 1, is_whole: true, groups };
+        control.step(3, ControlEvent::HoldingsReceived(holdings));
     }
     control
 }
 
-/// Configuration bytes and time over the number of replica groups.
+/// Measures bytes and time of the configuration over the number of replicas.
 fn configuration_series() -> Result<Vec<ScalingSeries>> {
-    let mut bytes = ScalingSeries::new("the configuration's chunks", "bytes", "replica");
-    let mut assemble_us = ScalingSeries::new("assembling and checking it", "us", "replica");
+    let mut bytes = ScalingSeries::new("the chunks of a configuration", "bytes", "replica");
+    let mut assemble_us =
+        ScalingSeries::new("assembling and checking a configuration", "us", "replica");
     let mut changed_bytes =
-        ScalingSeries::new("chunks that one changed service rewrites", "bytes", "replica");
+        ScalingSeries::new("chunks rewritten when one service changes", "bytes", "replica");
     for members in MEMBER_COUNTS {
         let groups = (members as f64 * REPLICAS_PER_MEMBER / 2.0) as usize;
         let replicas = 2.0 * groups as f64;
@@ -155,9 +165,9 @@
     Ok(vec![bytes, assemble_us, changed_bytes])
 }
 
-/// The entry's own time for a query over the number of shards.
+/// Measures the time of the query reducer over the number of shards, without I/O.
 fn query_series() -> ScalingSeries {
-    let mut slope = ScalingSeries::new("an entry's reducer for a query", "us", "shard");
+    let mut series = ScalingSeries::new("the query reducer for a query", "us", "shard");
     for shards in [8, 50, 400, 1_600] {
         let view = node_view(shards);
         let spec = QuerySpec {
@@ -177,19 +187,19 @@
                 }
             }
         });
-        slope.points.push((shards as f64, time));
+        series.points.push((shards as f64, time));
     }
-    slope
+    series
 }
 
-/// A home's own time for a sub-request.
+/// Prints the time that the scheduler reducer takes for a sub-request, without I/O.
 fn print_scheduler_cost() {
     let spec = |number: usize| ReplicaSpec {
         address: eco_format!("10.2.0.{number}:7101"),
         failure_domain: eco_format!("domain-{number}"),
         shards: ["s0".into()].into_iter().collect(),
     };
-    let mut lane = Scheduler::new(SchedulerConfiguration {
+    let mut scheduler = Scheduler::new(SchedulerConfiguration {
         group: "service-0/s0".into(),
         service: "service-0".into(),
         replicas: (0..2).map(spec).collect(),
@@ -197,7 +207,7 @@
         domains_out: IndexSet::new(),
         leaving_upstreams: IndexSet::new(),
     });
-    lane.step(0, SchedulerEvent::BecomeHome { view_skew_us: 0 });
+    scheduler.step(0, SchedulerEvent::BecomeHome { view_skew_us: 0 });
     for number in 0..2 {
         let report = StatusReport::Read(UpstreamStatus {
             boot_id: "boot".into(),
@@ -207,13 +217,13 @@
             snapshots: vec![held_snapshot()],
         });
         let replica = spec(number).address;
-        lane.step(0, SchedulerEvent::Status { replica, probe_id: None, report });
+        scheduler.step(0, SchedulerEvent::Status { replica, probe_id: None, report });
     }
     let mut now_us = 1_000;
-    let mut open: VecDeque<AttemptId> = VecDeque::new();
+    let mut open_attempts: VecDeque<AttemptId> = VecDeque::new();
     let time = mean_time_us_after_warm_up(50_000, |round| {
         now_us += 1_000;
-        let sub = SubRequestSpec {
+        let sub_request = SubRequestSpec {
             id: SubRequestId(round as u64),
             shard: "s0".into(),
             snapshot: 7,
@@ -222,24 +232,24 @@
             fingerprint: round as u64,
             deadline_us: now_us + 90_000,
         };
-        let mut effects = lane.step(now_us, SchedulerEvent::Submit(sub));
-        if open.len() >= 2
-            && let Some(attempt) = open.pop_front()
+        let mut effects = scheduler.step(now_us, SchedulerEvent::Submit(sub_request));
+        if open_attempts.len() >= 2
+            && let Some(attempt) = open_attempts.pop_front()
         {
             let report = AttemptResult::Answered.into();
-            effects.extend(lane.step(now_us, SchedulerEvent::Finished { attempt, report }));
+            effects.extend(scheduler.step(now_us, SchedulerEvent::Finished { attempt, report }));
         }
         for effect in effects {
             if let SchedulerEffect::Send { attempt, .. } = effect {
-                open.push_back(attempt);
+                open_attempts.push_back(attempt);
             }
         }
-        black_box(lane.next_timer_us(now_us));
+        black_box(scheduler.next_timer_us(now_us));
     });
-    println!("  {:<44} {time:>10.2} us", "a home's reducer for a sub-request");
+    println!("  {:<44} {time:>10.2} us", "the scheduler reducer for a sub-request");
 }
 
-/// Bytes and codec time of the messages between nodes.
+/// Prints the bytes and codec time of messages between nodes.
 fn print_message_costs() -> Result<()> {
     let body = |text: &str| -> Result<Body> {
         Ok(Body::from(serde_json::value::RawValue::from_string(text.into())?))
@@ -261,16 +271,16 @@
         body: Some(body(&format!("{{\"hits\":\"{}\"}}", "h".repeat(200)))?),
     };
     print_codec_cost("a sub-request, 64 byte body", &request)?;
-    print_codec_cost("its reply, 200 byte body", &reply)?;
+    print_codec_cost("a sub-request reply, 200 byte body", &reply)?;
     print_codec_cost("one group's holdings", &group_holdings("service-0/s0", "vm-1"))?;
     print_codec_cost(
-        "a notice of a quarantine",
+        "a quarantine notice",
         &QuarantineNotice { fingerprint: u64::MAX, ttl_ms: 60_000 },
     )?;
     Ok(())
 }
 
-/// Prints the bytes of a message and the time to write and read it.
+/// Prints the size of a message and the time to encode and decode it.
 fn print_codec_cost<T: serde::Serialize + serde::de::DeserializeOwned>(
     name: &str,
     value: &T,
@@ -289,22 +299,23 @@
         Self { name, unit, size_unit, points: Vec::new() }
     }
 
-    /// Prints the points and the least-squares line with the slope's standard error.
+    /// Prints the points and a least-squares fit with the standard error of its slope.
     fn print(&self) {
         let count = self.points.len() as f64;
         let mean_x = self.points.iter().map(|(x, _)| x).sum::<f64>() / count;
         let mean_y = self.points.iter().map(|(_, y)| y).sum::<f64>() / count;
-        let spread = self.points.iter().map(|(x, _)| (x - mean_x).powi(2)).sum::<f64>();
-        let joint = self.points.iter().map(|(x, y)| (x - mean_x) * (y - mean_y)).sum::<f64>();
-        let slope = joint / spread;
-        let base = mean_y - slope * mean_x;
-        let rest = self.points.iter().map(|(x, y)| (y - base - slope * x).powi(2)).sum::<f64>();
-        let error = (rest / (count - 2.0) / spread).sqrt();
+        let sum_dx_dx = self.points.iter().map(|(x, _)| (x - mean_x).powi(2)).sum::<f64>();
+        let sum_dx_dy = self.points.iter().map(|(x, y)| (x - mean_x) * (y - mean_y)).sum::<f64>();
+        let gradient = sum_dx_dy / sum_dx_dx;
+        let intercept = mean_y - gradient * mean_x;
+        let sum_residuals_squared =
+            self.points.iter().map(|(x, y)| (y - intercept - gradient * x).powi(2)).sum::<f64>();
+        let error = (sum_residuals_squared / (count - 2.0) / sum_dx_dx).sqrt();
         println!("{} ({})", self.name, self.unit);
         for (x, y) in &self.points {
             println!("  {x:>6.0} {:<8} {y:>12.1}", self.size_unit);
         }
-        println!("  fit: {base:.1} + {slope:.4} +- {error:.4} for each {}", self.size_unit);
+        println!("  fit: {intercept:.1} + {gradient:.4} +- {error:.4} per {}", self.size_unit);
     }
 }
 
@@ -332,14 +343,14 @@
     Configuration { revision: 1, services, domains_out: IndexSet::new() }
 }
 
-/// The view of a node that knows a number of groups of one shard each.
+/// Returns the view of a node that knows `groups` groups of one shard each.
 fn node_view(groups: usize) -> View {
     let mut control = ControlPlane::new(&member_update(0), [], policy(), 1, 0);
     control.step(1, ControlEvent::ConfigurationReceived(configuration(groups)));
     let groups: Vec<GroupHoldings> =
         control.view().homes.keys().map(|group| group_holdings(group, "vm-0")).collect();
-    let heard = NodeHoldings { node: "vm-0".into(), version: 1, is_whole: true, groups };
-    let effects = control.step(2, ControlEvent::HoldingsReceived(heard));
+    let holdings = NodeHoldings { node: "vm-0".into(), version: 1, is_whole: true, groups };
+    let effects = control.step(2, ControlEvent::HoldingsReceived(holdings));
     assert!(effects.contains(&ControlEffect::PublishView));
     control.view()
 }
@@ -382,20 +393,20 @@
     Ok(serde_json::to_vec(value)?.len())
 }
 
-/// The mean time of a round in microseconds, after as many rounds to warm up as a tenth.
+/// Returns the mean time of a round in microseconds, after a warm-up of a tenth as many rounds.
 fn mean_time_us_after_warm_up(rounds: usize, mut round: impl FnMut(usize)) -> f64 {
     (0..rounds / 10).for_each(&mut round);
     mean_time_us(rounds, round)
 }
 
-/// The mean time of a round in microseconds.
+/// Returns the mean time of a round in microseconds.
 fn mean_time_us(rounds: usize, mut round: impl FnMut(usize)) -> f64 {
     let start = Instant::now();
     (0..rounds).for_each(&mut round);
     start.elapsed().as_secs_f64() * 1e6 / rounds as f64
 }
 
-/// The memory that this process has in use, in KB.
+/// Returns the resident memory of this process, in KB.
 fn resident_kb() -> Result<u64> {
     let status = std::fs::read_to_string("/proc/self/status")?;
     let line = status.lines().find_map(|line| line.strip_prefix("VmRSS:")).unwrap_or("0");
