--- a/crates/sassafrasproxy-standin/src/cluster.rs
+++ b/crates/sassafrasproxy-standin/src/cluster.rs
@@ -1,4 +1,4 @@
-//! A whole system in one process, for the demo, measurements and tests.
+//! Runs a whole cluster in one process, for the demo, measurements and tests.
 
 use std::net::SocketAddr;
 use std::path::Path;
@@ -15,70 +15,70 @@
 
 use crate::{ColdStart, PlatformStandIn, Stragglers, UpstreamSetup, UpstreamStandIn};
 
-/// The first snapshot of every service.
+/// The id of the first snapshot of every service.
 const FIRST_SNAPSHOT_ID: u64 = 7;
 
-/// The longest that a fleet may take to serve.
+/// The maximum time until a new cluster is ready.
 const READY_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// What a fleet is made of.
+/// The settings of a cluster.
 #[derive(Debug, Clone)]
 pub struct ClusterSetup {
-    /// How many nodes.
+    /// The number of nodes.
     pub node_count: usize,
-    /// The failure domains; nodes and replicas are spread over them in turn.
+    /// The failure domains; nodes and replicas are assigned to them in turn.
     pub failure_domains: Vec<EcoString>,
-    /// The services.
+    /// The services to publish and their replicas to start.
     pub services: Vec<ServiceSetup>,
-    /// How the nodes are tuned.
+    /// The tuning of every node.
     pub tuning: Tuning,
     /// The seed of the upstreams' service times.
     pub seed: u64,
 }
 
-/// What one service is like.
+/// The settings of one service.
 #[derive(Debug, Clone)]
 pub struct ServiceSetup {
-    /// Its name.
+    /// The name of the service.
     pub name: EcoString,
-    /// Its index.
+    /// The index that the service belongs to.
     pub index: EcoString,
-    /// How many replicas; each holds every shard.
+    /// The number of replicas; each holds every shard.
     pub replica_count: usize,
-    /// How many shards.
+    /// The number of shards.
     pub shard_count: usize,
-    /// Slots of each replica.
+    /// The number of slots of each replica.
     pub slots: u32,
-    /// Connections of each replica.
+    /// The maximum number of open connections of each replica.
     pub max_connections: u32,
-    /// How long a new connection takes, in milliseconds.
+    /// The time that a new connection takes before it serves, in milliseconds.
     pub connect_ms: f64,
-    /// The network's time there and back, in milliseconds.
+    /// The network round-trip time, in milliseconds.
     pub round_trip_ms: f64,
-    /// The mean time that a request takes, in milliseconds.
+    /// The mean service time of a request, in milliseconds.
     pub mean_service_ms: f64,
-    /// What its replicas are like after a start.
+    /// The behaviour of replicas after a restart, if they start cold.
     pub cold_start: Option<ColdStart>,
-    /// Requests that take far longer.
+    /// The share of requests that take far longer, if any do.
     pub stragglers: Option<Stragglers>,
-    /// The deadline of a request that names none, in milliseconds.
+    /// The default deadline of a request, in milliseconds.
     pub deadline_ms: u64,
 }
 
-/// A system that runs in this process until it is dropped.
+/// A cluster that runs in this process until it is dropped.
 pub struct Cluster {
-    /// The platform.
+    /// The platform stand-in that the nodes use.
     pub platform: PlatformStandIn,
-    /// The replicas of each service.
+    /// The replicas by service.
     pub upstreams: IndexMap<EcoString, Vec<UpstreamStandIn>>,
-    /// The nodes.
+    /// The nodes, in the order of their start.
     pub nodes: Vec<Node>,
-    /// What was published.
+    /// The services that `publish` publishes, by name.
     pub services: IndexMap<EcoString, ServiceSpec>,
 }
 
 impl ServiceSetup {
-    /// A small service of today: two replicas of two slots.
+    /// Returns a small service as users run it: two replicas with two slots each.
     pub fn small(name: impl Into<EcoString>, index: &str) -> Self {
         Self {
             name: name.into(),
@@ -96,7 +96,7 @@
         }
     }
 
-    /// Its file's content, for replicas at these addresses.
+    /// Returns the content of the service's file, for replicas at `addresses`.
     pub fn service_spec(&self, addresses: &[SocketAddr], domains: &[EcoString]) -> ServiceSpec {
         let upstreams = addresses.iter().enumerate().map(|(index, address)| UpstreamSpec {
             address: eco_format!("{address}"),
@@ -122,7 +122,7 @@
         }
     }
 
-    /// What one of its replicas is like.
+    /// Returns the settings of one of the service's replicas.
     pub fn upstream_setup(&self, seed: u64) -> UpstreamSetup {
         let shards = shard_names(self.shard_count);
         UpstreamSetup {
@@ -144,7 +144,8 @@
 }
 
 impl Cluster {
-    /// Starts platform, upstreams and nodes, publishes, and waits until every group has a home.
+    /// Starts the platform, upstreams and nodes, publishes the services, and waits until every node
+    /// reports all members, and homes with snapshots.
     pub async fn start(setup: &ClusterSetup) -> Result<Self> {
         let platform = PlatformStandIn::start(any_loopback_port())?;
         let mut upstreams = IndexMap::new();
@@ -162,16 +163,16 @@
             services.insert(service.name.clone(), spec);
             upstreams.insert(service.name.clone(), replicas);
         }
-        let mut fleet = Self { platform, upstreams, nodes: Vec::new(), services };
-        fleet.publish().await?;
+        let mut cluster = Self { platform, upstreams, nodes: Vec::new(), services };
+        cluster.publish().await?;
         for number in 0..setup.node_count {
-            fleet.add_node(number, setup)?;
+            cluster.add_node(number, setup)?;
         }
-        fleet.wait_until_ready().await?;
-        Ok(fleet)
+        cluster.wait_until_ready().await?;
+        Ok(cluster)
     }
 
-    /// Publishes the services as they are in `services` now.
+    /// Publishes the current `services` and returns their revision.
     pub async fn publish(&self) -> Result<u64> {
         let platform = PlatformClient::new(self.platform.url())?;
         let change = PublishRequest::ReplaceServices {
@@ -182,11 +183,11 @@
             PublishOutcome::Done { revision } | PublishOutcome::Unchanged { revision } => {
                 Ok(revision)
             }
-            end => bail!("publishing ended as {end:?}"),
+            outcome => bail!("the services were not published: {outcome:?}"),
         }
     }
 
-    /// Starts one more node, which knows the first as its seed.
+    /// Starts another node, whose seed is the first node.
     pub fn add_node(&mut self, number: usize, setup: &ClusterSetup) -> Result<()> {
         let domain = &setup.failure_domains[number % setup.failure_domains.len()];
         let seeds = match self.nodes.first() {
@@ -204,29 +205,32 @@
         Ok(())
     }
 
-    /// The status of one node.
+    /// Returns the status of a node.
     pub async fn status(&self, node: usize) -> Result<NodeStatus> {
         let url = format!("http://{}/v1/status", self.nodes[node].address());
         Ok(reqwest::get(url).await?.json().await?)
     }
 
-    /// Waits until all nodes know each other and every group's holdings.
+    /// Waits until every node is ready; fails after `READY_TIMEOUT`.
     async fn wait_until_ready(&self) -> Result<()> {
-        let all_ready = async {
+        let readiness = async {
             for node in 0..self.nodes.len() {
                 while !self.is_ready(node).await.unwrap_or(false) {
                     tokio::time::sleep(Duration::from_millis(50)).await;
                 }
             }
         };
-        tokio::time::timeout(READY_TIMEOUT, all_ready).await.wrap_err("the fleet is not ready")
+        tokio::time::timeout(READY_TIMEOUT, readiness)
+            .await
+            .wrap_err("the cluster was not ready in time; check the nodes' logs and status")
     }
 
+    /// Returns whether a node reports all members, and homes that all have snapshots.
     async fn is_ready(&self, node: usize) -> Result<bool> {
         let status = self.status(node).await?;
-        let is_served = status.homes.iter().all(|home| !home.snapshots.is_empty());
+        let has_snapshots = status.homes.iter().all(|home| !home.snapshots.is_empty());
         let has_homes = !status.homes.is_empty() || self.services.is_empty();
-        Ok(is_served && has_homes && status.members.len() == self.nodes.len())
+        Ok(has_snapshots && has_homes && status.members.len() == self.nodes.len())
     }
 }
 
@@ -238,12 +242,12 @@
     }
 }
 
-/// The names of a number of shards.
+/// Returns the names of `count` shards.
 pub fn shard_names(count: usize) -> Vec<EcoString> {
     (0..count).map(|number| eco_format!("s{number}")).collect()
 }
 
-/// Any free port of the loopback.
+/// Returns a loopback address with port 0, for any free port.
 fn any_loopback_port() -> SocketAddr {
     SocketAddr::from(([127, 0, 0, 1], 0))
 }
--- a/crates/sassafrasproxy-standin/src/lib.rs
+++ b/crates/sassafrasproxy-standin/src/lib.rs
@@ -1,4 +1,5 @@
-//! Stand-ins for the platform and for upstreams, and a load generator. Not shipped.
+//! Stand-ins for the platform and for upstreams, and a load generator, for tests and measurements
+//! only.
 
 mod cluster;
 mod load;
--- a/crates/sassafrasproxy-standin/src/load.rs
+++ b/crates/sassafrasproxy-standin/src/load.rs
@@ -1,4 +1,5 @@
-//! An open-loop load generator.
+//! An open-loop load generator: queries are sent when they are due, whether or not earlier ones
+//! have ended.
 
 use std::fmt::{self, Display, Formatter};
 use std::net::SocketAddr;
@@ -18,76 +19,78 @@
 
 use crate::Cluster;
 
-/// The longest latency told apart, in microseconds.
+/// The highest latency that is recorded exactly, in microseconds; higher ones count as this.
 const MAX_LATENCY_US: u64 = 120_000_000;
 
-/// What load to offer.
+/// The load to generate.
 #[derive(Debug, Clone)]
 pub struct LoadPlan {
-    /// Queries a second.
+    /// The mean number of queries per second; arrivals form a Poisson process.
     pub rate_per_s: f64,
-    /// How long.
+    /// The time during which queries are sent.
     pub duration: Duration,
-    /// The services to choose from.
+    /// The services that queries choose from.
     pub services: Vec<EcoString>,
-    /// How many of them each query asks.
+    /// The number of services that each query asks.
     pub services_per_query: usize,
-    /// The kind of request; each gets a request id of its own.
+    /// The kind of every request; each request has its own request id.
     pub kind: EcoString,
-    /// The least coverage that each query asks for.
+    /// The minimum coverage that each query accepts, from 0 to 1.
     pub min_coverage: f64,
-    /// The seed of arrivals and choices.
+    /// The seed of arrival times, services and ids.
     pub seed: u64,
 }
 
-/// What came of a load.
+/// The results of a load.
 #[derive(Debug, Clone)]
 pub struct LoadReport {
-    /// Queries sent.
+    /// The number of queries sent.
     pub sent: u64,
-    /// Queries answered, by whether they cover everything.
+    /// The number of queries whose answers cover every shard.
     pub complete: u64,
-    /// Queries answered with some shards missing.
+    /// The number of queries whose answers miss some shards.
     pub partial: u64,
-    /// Shards that were missing from answers, by reason.
+    /// The number of shards missing from answers, by reason.
     pub missing_shards: IndexMap<FailureReason, u64>,
-    /// Refusals by reason.
+    /// The number of refused queries, by outcome and reason.
     pub refusals: IndexMap<EcoString, u64>,
-    /// Queries that got no readable answer.
+    /// The number of queries without a valid answer.
     pub failed: u64,
-    /// From the time that the query was due to its whole answer, in microseconds.
+    /// The time from when a query was due until it ended, in microseconds.
     pub latency_us: Histogram<u64>,
-    /// Shards asked for over all queries that were answered or refused for coverage.
+    /// The number of shards requested by all queries that were answered or refused for coverage.
     pub requested_shards: u64,
-    /// Requests that upstreams began to run.
+    /// The number of requests that upstreams started.
     pub upstream_runs: u64,
-    /// The most requests that any replica saw at once, by its slots.
+    /// The maximum number of concurrent requests at any replica, by its number of slots.
     pub max_in_flight: IndexMap<u32, u32>,
 }
 
-/// How one query ended.
+/// The outcome of one query.
 enum QueryOutcome {
     Answered { coverage: Coverage },
     Refused { reason: EcoString, shards: usize },
     Failed,
 }
 
-/// Offers a load to all nodes in turn; a query's latency counts from when it was due.
-pub async fn run_load(fleet: &Cluster, plan: &LoadPlan) -> LoadReport {
-    let runs_before = total_run_count(fleet);
-    take_max_running_by_slots(fleet);
+/// Sends a load to all nodes in turn and returns the results once all queries have ended.
+///
+/// A query's latency counts from when it was due, so that a late send counts too.
+pub async fn run_load(cluster: &Cluster, plan: &LoadPlan) -> LoadReport {
+    let runs_before = total_run_count(cluster);
+    take_max_running_by_slots(cluster);
     let addresses: Vec<SocketAddr> =
-        fleet.nodes.iter().map(sassafrasproxy_node::Node::address).collect();
+        cluster.nodes.iter().map(sassafrasproxy_node::Node::address).collect();
     let client = Client::builder().no_proxy().pool_max_idle_per_host(256).build();
-    let client = client.expect("a client without TLS always builds");
+    let client = client.expect("building a client without TLS succeeds");
     let mut rng = StdRng::seed_from_u64(plan.seed);
-    let gaps = Exp::new(plan.rate_per_s).expect("the rate is positive");
+    let intervals = Exp::new(plan.rate_per_s).expect("`rate_per_s` must be positive");
     let mut report = LoadReport::new();
     let mut queries = JoinSet::new();
     let start = Instant::now();
     let mut due_s = 0.0;
     loop {
-        due_s += gaps.sample(&mut rng);
+        due_s += intervals.sample(&mut rng);
         let due = start + Duration::from_secs_f64(due_s);
         if due >= start + plan.duration {
             break;
@@ -107,20 +110,20 @@
         report.sent += 1;
         tokio::time::sleep_until(due.into()).await;
         queries.spawn(async move {
-            let ended = send_query(request).await;
-            (ended, due.elapsed())
+            let outcome = send_query(request).await;
+            (outcome, due.elapsed())
         });
-        while let Some(Ok((ended, took))) = queries.try_join_next() {
-            report.record_query(ended, took);
+        while let Some(Ok((outcome, latency))) = queries.try_join_next() {
+            report.record_query(outcome, latency);
         }
     }
-    while let Some(ended) = queries.join_next().await {
-        if let Ok((ended, took)) = ended {
-            report.record_query(ended, took);
+    while let Some(joined) = queries.join_next().await {
+        if let Ok((outcome, latency)) = joined {
+            report.record_query(outcome, latency);
         }
     }
-    report.upstream_runs = total_run_count(fleet) - runs_before;
-    report.max_in_flight = take_max_running_by_slots(fleet);
+    report.upstream_runs = total_run_count(cluster) - runs_before;
+    report.max_in_flight = take_max_running_by_slots(cluster);
     report
 }
 
@@ -154,24 +157,24 @@
         }
     }
 
-    /// The latency at a quantile, in milliseconds.
+    /// Returns the latency at a quantile, in milliseconds.
     pub fn latency_quantile_ms(&self, quantile: f64) -> f64 {
         self.latency_us.value_at_quantile(quantile) as f64 / 1_000.0
     }
 
-    /// The share of queries that were answered in full, 0 to 1.
+    /// Returns the share of sent queries whose answers cover every shard, from 0 to 1.
     pub fn complete_share(&self) -> f64 {
         self.complete as f64 / self.sent.max(1) as f64
     }
 
-    /// Runs in upstreams for each shard asked.
+    /// Returns the number of upstream runs per requested shard.
     pub fn runs_per_shard(&self) -> f64 {
         self.upstream_runs as f64 / self.requested_shards.max(1) as f64
     }
 
-    fn record_query(&mut self, ended: QueryOutcome, took: Duration) {
-        self.latency_us.saturating_record(took.as_micros() as u64);
-        match ended {
+    fn record_query(&mut self, outcome: QueryOutcome, latency: Duration) {
+        self.latency_us.saturating_record(latency.as_micros() as u64);
+        match outcome {
             QueryOutcome::Answered { coverage } => {
                 self.requested_shards += (coverage.covered.len() + coverage.missing.len()) as u64;
                 if coverage.missing.is_empty() {
@@ -196,7 +199,7 @@
     fn fmt(&self, f: &mut Formatter<'_>) -> fmt::Result {
         write!(
             f,
-            "{} sent, {} full, {} thin {:?}",
+            "{} sent, {} complete, {} partial {:?}",
             self.sent, self.complete, self.partial, self.missing_shards
         )?;
         write!(f, ", refused {:?}, {} failed", self.refusals, self.failed)?;
@@ -204,22 +207,23 @@
         write!(f, ", p95 {:.1}", self.latency_quantile_ms(0.95))?;
         write!(f, ", p99 {:.1}", self.latency_quantile_ms(0.99))?;
         write!(f, ", max {:.1}", self.latency_quantile_ms(1.0))?;
-        write!(f, "; runs per shard asked {:.3}", self.runs_per_shard())?;
-        write!(f, "; most in flight by slots {:?}", self.max_in_flight)
+        write!(f, "; runs per requested shard {:.3}", self.runs_per_shard())?;
+        write!(f, "; max in flight by slots {:?}", self.max_in_flight)
     }
 }
 
-fn total_run_count(fleet: &Cluster) -> u64 {
-    fleet.upstreams.values().flatten().map(super::upstream::UpstreamStandIn::run_count).sum()
+fn total_run_count(cluster: &Cluster) -> u64 {
+    cluster.upstreams.values().flatten().map(super::upstream::UpstreamStandIn::run_count).sum()
 }
 
-/// The most that any replica saw at once, by its slots.
-fn take_max_running_by_slots(fleet: &Cluster) -> IndexMap<u32, u32> {
-    let mut most = IndexMap::new();
-    for upstream in fleet.upstreams.values().flatten() {
-        let running = upstream.take_max_running();
-        let entry = most.entry(upstream.slots()).or_insert(0);
-        *entry = running.max(*entry);
+/// Returns and resets the maximum number of concurrent requests at any replica, by its number of
+/// slots.
+fn take_max_running_by_slots(cluster: &Cluster) -> IndexMap<u32, u32> {
+    let mut max_running_by_slots = IndexMap::new();
+    for upstream in cluster.upstreams.values().flatten() {
+        let max_running = upstream.take_max_running();
+        let max_for_slots = max_running_by_slots.entry(upstream.slots()).or_insert(0);
+        *max_for_slots = max_running.max(*max_for_slots);
     }
-    most
+    max_running_by_slots
 }
--- a/crates/sassafrasproxy-standin/src/platform.rs
+++ b/crates/sassafrasproxy-standin/src/platform.rs
@@ -1,4 +1,4 @@
-//! A stand-in for the platform: store, leases, watches, VM list, call counter and faults.
+//! A stand-in for the platform, with store, leases, watches, VM list, call counts and faults.
 
 use std::collections::BTreeMap;
 use std::net::{SocketAddr, TcpListener};
@@ -22,10 +22,10 @@
 use tokio::sync::watch;
 use tokio::task::AbortHandle;
 
-/// How long a hanging call hangs.
+/// The time for which a call hangs during an outage of kind `Hang`.
 const HANG_TIME: Duration = Duration::from_secs(60);
 
-/// How many changes are kept for watches.
+/// The maximum number of changes kept for watches; the older half is dropped when it is reached.
 const MAX_CHANGES: usize = 100_000;
 
 /// A platform that runs in this process until it is dropped.
@@ -36,36 +36,36 @@
     server: AbortHandle,
 }
 
-/// What the platform does wrong now.
+/// The active faults of the platform.
 #[derive(Debug, Clone, Default)]
 #[derive(Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct PlatformFaults {
-    /// Added to every call, in milliseconds.
+    /// The delay added to every call, in milliseconds.
     pub delay_ms: u64,
-    /// Whether it is away, and how that shows.
+    /// The kind of outage, if the platform is unavailable.
     pub outage: Option<Outage>,
-    /// The next writes whose answers are lost after they took effect.
+    /// The number of next writes that take effect but whose answers are lost.
     pub lose_answers: u32,
-    /// The most calls it takes in one second; 0 for no limit.
+    /// The maximum number of calls per second; 0 means no limit.
     pub calls_per_s: u32,
 }
 
-/// How an outage shows.
+/// The effect of an outage on calls.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Outage {
-    /// Calls fail at once.
+    /// Calls fail immediately.
     Fail,
-    /// Calls get no answer.
+    /// Calls hang.
     Hang,
 }
 
 #[derive(Debug)]
 struct State {
     store: Mutex<Store>,
-    /// The store's revision, to wake watches.
+    /// Sends the store's revision to wake watches.
     revision_sender: watch::Sender<u64>,
 }
 
@@ -74,11 +74,12 @@
     revision: u64,
     items: BTreeMap<EcoString, (EcoString, u64)>,
     changes: Vec<KvItem>,
-    /// The end of each lease, and the keys that go with it.
+    /// The leases by id.
     leases: IndexMap<EcoString, Lease>,
     vms: Vec<VmEntry>,
     faults: PlatformFaults,
     call_counts: IndexMap<&'static str, u64>,
+    /// The start of the current second of the rate limit, and the calls in it.
     rate_window: Option<(Instant, u32)>,
 }
 
@@ -86,11 +87,12 @@
 struct Lease {
     expires_at: Instant,
     ttl: Duration,
+    /// The keys that are removed when the lease expires.
     keys: Vec<EcoString>,
 }
 
 impl PlatformStandIn {
-    /// Starts on an address of this machine; port 0 takes any free port.
+    /// Starts on a local address; port 0 takes any free port.
     pub fn start(address: SocketAddr) -> std::io::Result<Self> {
         let listener = TcpListener::bind(address)?;
         listener.set_nonblocking(true)?;
@@ -100,18 +102,18 @@
         let acceptor = TcpAcceptor::from_std(listener)?;
         let routes = routes(state.clone());
         let server = tokio::spawn(async move {
-            // The server ends only with its task.
+            // The server runs until its task is aborted.
             let _ = Server::new_with_acceptor(acceptor).run(routes).await;
         });
         Ok(Self { address, state, server: server.abort_handle() })
     }
 
-    /// The base URL.
+    /// Returns the base URL.
     pub fn url(&self) -> EcoString {
         eco_format!("http://{}", self.address)
     }
 
-    /// Changes what the platform does wrong.
+    /// Replaces the active faults.
     pub fn set_faults(&self, faults: PlatformFaults) {
         self.state.lock().faults = faults;
     }
@@ -121,17 +123,17 @@
         self.state.lock().vms = entries;
     }
 
-    /// The calls so far by kind, those refused included.
+    /// Returns the number of calls so far by kind, including refused calls.
     pub fn call_counts(&self) -> IndexMap<&'static str, u64> {
         self.state.lock().call_counts.clone()
     }
 
-    /// The value of a key, whatever the faults are.
+    /// Returns the value of a key, unaffected by faults.
     pub fn value(&self, key: &str) -> Option<EcoString> {
         self.state.lock().items.get(key).map(|(value, _)| value.clone())
     }
 
-    /// The keys with a prefix, whatever the faults are.
+    /// Returns the keys with a prefix, unaffected by faults.
     pub fn keys(&self, prefix: &str) -> Vec<EcoString> {
         let store = self.state.lock();
         store.items.keys().filter(|key| key.starts_with(prefix)).cloned().collect()
@@ -144,9 +146,9 @@
     }
 }
 
-/// All routes, with the faults before them.
+/// Returns all routes; the faults apply to all but the route that sets them.
 fn routes(state: Arc<State>) -> impl Endpoint {
-    let gate = state.clone();
+    let fault_state = state.clone();
     let calls = Route::new()
         .at("/kv", get(list_keys))
         .at("/kv/:key", get(read_key).put(write_key).delete(delete_key))
@@ -156,13 +158,13 @@
         .at("/vms", get(list_vms))
         .data(state.clone())
         .around(move |endpoint, request| {
-            let gate = gate.clone();
-            async move { apply_faults(&gate, endpoint, request).await }
+            let fault_state = fault_state.clone();
+            async move { apply_faults(&fault_state, endpoint, request).await }
         });
     Route::new().at("/standin/faults", post(update_faults).data(state)).nest("/", calls)
 }
 
-/// Counts a call and applies the faults to it.
+/// Counts a call and applies the active faults to it.
 async fn apply_faults<E: Endpoint>(
     state: &State,
     endpoint: Arc<E>,
@@ -177,14 +179,14 @@
     } else {
         "read"
     };
-    let (faults, is_over) = state.lock().record_call(kind);
+    let (faults, exceeds_rate_limit) = state.lock().record_call(kind);
     tokio::time::sleep(Duration::from_millis(faults.delay_ms)).await;
     match faults.outage {
         Some(Outage::Fail) => return Ok(StatusCode::SERVICE_UNAVAILABLE.into_response()),
         Some(Outage::Hang) => tokio::time::sleep(HANG_TIME).await,
         None => {}
     }
-    if is_over {
+    if exceeds_rate_limit {
         return Ok(StatusCode::TOO_MANY_REQUESTS.into_response());
     }
     let response = endpoint.call(request).await?.into_response();
@@ -319,7 +321,7 @@
 }
 
 impl State {
-    /// Writes or removes a key under its condition.
+    /// Writes or removes a key if its revision is the expected one, and wakes watches.
     fn apply_write(
         &self,
         key: EcoString,
@@ -328,9 +330,9 @@
     ) -> Response {
         let mut store = self.lock();
         store.expire_leases();
-        let place = store.items.get(&key).map_or(0, |(_, revision)| *revision);
-        if params.expect.is_some_and(|expect| expect != place) {
-            let conflict = Json(KvRevision { revision: place });
+        let current_revision = store.items.get(&key).map_or(0, |(_, revision)| *revision);
+        if params.expect.is_some_and(|expect| expect != current_revision) {
+            let conflict = Json(KvRevision { revision: current_revision });
             return (StatusCode::CONFLICT, conflict).into_response();
         }
         let lease = params.lease.as_ref().and_then(|id| store.leases.get_mut(id));
@@ -348,7 +350,7 @@
 }
 
 impl Store {
-    /// Counts a call and tells which faults it meets and whether it is over the rate.
+    /// Counts a call; returns the active faults and whether the call exceeds the rate limit.
     fn record_call(&mut self, kind: &'static str) -> (PlatformFaults, bool) {
         *self.call_counts.entry(kind).or_default() += 1;
         let now = Instant::now();
@@ -361,7 +363,7 @@
         (self.faults.clone(), limit > 0 && count > limit)
     }
 
-    /// Whether the answer to a write that took effect is to be lost.
+    /// Returns whether the answer to a write is lost, and decrements the remaining number.
     fn take_lost_answer(&mut self) -> bool {
         let is_lost = self.faults.lose_answers > 0;
         self.faults.lose_answers = self.faults.lose_answers.saturating_sub(1);
@@ -387,22 +389,22 @@
         KvChanges { revision: self.revision, changes }
     }
 
-    /// Removes the keys of leases that ended.
+    /// Removes the keys of expired leases.
     fn expire_leases(&mut self) {
         let now = Instant::now();
-        let ended: Vec<EcoString> = self
+        let expired: Vec<EcoString> = self
             .leases
             .values_mut()
             .filter(|lease| lease.expires_at <= now)
             .flat_map(|lease| std::mem::take(&mut lease.keys))
             .collect();
-        for key in ended {
+        for key in expired {
             self.put(key, None);
         }
     }
 }
 
-/// Undoes the escapes of a key in a path.
+/// Decodes the percent-encoding of a key in a path.
 fn decode_key(key: &str) -> EcoString {
     percent_decode_str(key).decode_utf8_lossy().as_ref().into()
 }
--- a/crates/sassafrasproxy-standin/src/process.rs
+++ b/crates/sassafrasproxy-standin/src/process.rs
@@ -1,4 +1,4 @@
-//! Nodes as processes of their own, which can be killed, paused and told to leave.
+//! Runs nodes in separate processes, which can be killed, paused and shut down.
 
 use std::io::{BufRead, BufReader, Read};
 use std::net::SocketAddr;
@@ -11,16 +11,16 @@
 use serde::Deserialize;
 use tempfile::TempDir;
 
-/// A node in a process of its own; it is killed when dropped.
+/// A node in a separate process, which is killed on drop.
 #[derive(Debug)]
 pub struct NodeProcess {
     child: Child,
     addresses: ListenAddresses,
-    /// Where its settings are.
+    /// The directory of the settings file, which is removed on drop.
     _settings_dir: TempDir,
 }
 
-/// What a node prints once it listens.
+/// The addresses that a node prints once it listens.
 #[derive(Debug, Clone, Copy)]
 #[derive(Deserialize)]
 struct ListenAddresses {
@@ -29,7 +29,7 @@
 }
 
 impl NodeProcess {
-    /// Starts the binary with these settings and waits until it listens.
+    /// Starts the binary with the given settings and waits until the node listens.
     pub fn start(binary: &Path, settings: &str) -> Result<Self> {
         let dir = TempDir::new()?;
         let file = dir.path().join("node.yaml");
@@ -42,49 +42,52 @@
             .stdout(Stdio::piped())
             .stderr(Stdio::inherit())
             .spawn()?;
-        let output = child.stdout.take().ok_or_eyre("the node has no standard output")?;
+        let output = child
+            .stdout
+            .take()
+            .ok_or_eyre("the standard output of the node process is not piped")?;
         let mut output = BufReader::new(output);
         let mut line = String::new();
         output.read_line(&mut line)?;
-        // The rest is read and left alone, so that the node never waits for a reader.
+        // Reads and discards the rest of the output, so that the node never blocks on a full pipe.
         std::thread::spawn(move || output.read_to_end(&mut Vec::new()));
         let addresses = serde_json::from_str(&line)?;
         Ok(Self { child, addresses, _settings_dir: dir })
     }
 
-    /// Where callers connect.
+    /// Returns the address for callers.
     pub fn address(&self) -> SocketAddr {
         self.addresses.listen
     }
 
-    /// Where peers connect.
+    /// Returns the address for peers.
     pub fn peer_address(&self) -> SocketAddr {
         self.addresses.peer_listen
     }
 
-    /// Ends it at once.
+    /// Kills the process and waits until it has exited.
     pub fn kill(&mut self) -> Result<()> {
         self.child.kill()?;
         self.child.wait()?;
         Ok(())
     }
 
-    /// Pauses it.
+    /// Pauses the process.
     pub fn pause(&self) -> Result<()> {
         self.signal(Signal::SIGSTOP)
     }
 
-    /// Lets it go on.
+    /// Resumes the paused process.
     pub fn resume(&self) -> Result<()> {
         self.signal(Signal::SIGCONT)
     }
 
-    /// Tells it to shut down gracefully.
+    /// Sends SIGTERM, which tells the node to shut down gracefully.
     pub fn terminate(&self) -> Result<()> {
         self.signal(Signal::SIGTERM)
     }
 
-    /// Waits for its end.
+    /// Waits until the process exits and returns its status.
     pub fn wait_for_exit(&mut self) -> Result<ExitStatus> {
         Ok(self.child.wait()?)
     }
@@ -97,12 +100,12 @@
 
 impl Drop for NodeProcess {
     fn drop(&mut self) {
-        // A child that ended already needs no killing.
+        // Errors are ignored: a child that has exited needs no kill.
         let _ = self.kill();
     }
 }
 
-/// Runs the binary with some words and waits for its end.
-pub fn run_command(binary: &Path, words: &[&str]) -> Result<Output> {
-    Ok(Command::new(binary).args(words).env("RUST_LOG", "warn").output()?)
+/// Runs the binary with arguments and returns its output once it has exited.
+pub fn run_command(binary: &Path, args: &[&str]) -> Result<Output> {
+    Ok(Command::new(binary).args(args).env("RUST_LOG", "warn").output()?)
 }
--- a/crates/sassafrasproxy-standin/src/upstream/mod.rs
+++ b/crates/sassafrasproxy-standin/src/upstream/mod.rs
@@ -1,4 +1,4 @@
-//! A stand-in for one upstream replica, with the faults that upstreams have.
+//! A stand-in for one upstream replica that can inject the faults of upstreams.
 
 mod setup;
 
@@ -35,7 +35,7 @@
 /// The spread of service times around their mean, as the sigma of a log-normal distribution.
 const SERVICE_TIME_SIGMA: f64 = 0.25;
 
-/// How many connections wait to be accepted.
+/// The number of connections that can wait to be accepted.
 const ACCEPT_BACKLOG: u32 = 1_024;
 
 type Answer = Response<Full<Bytes>>;
@@ -52,11 +52,12 @@
 struct Shared {
     setup: UpstreamSetup,
     state: Mutex<State>,
-    /// Requests that hold a slot.
+    /// The number of requests that hold a slot.
     running: AtomicU32,
+    /// The maximum of `running` since it was last taken.
     max_running: AtomicU32,
     open_connections: AtomicU32,
-    /// Ends the connections of the current process life.
+    /// Ends the connections of the current process incarnation.
     crash_token: Mutex<CancellationToken>,
 }
 
@@ -64,9 +65,9 @@
 struct State {
     rng: StdRng,
     boot_count: u32,
-    /// Answers since the caches were cold.
+    /// The number of answers since the caches were last cold.
     answers_since_cold: u32,
-    /// While the process is away.
+    /// The downtime of a crash that `serve` hasn't handled yet, in milliseconds.
     down_ms: Option<u64>,
     is_draining_in_status: bool,
     is_draining_in_answers: bool,
@@ -78,14 +79,16 @@
     snapshots: Vec<HeldSnapshot>,
     crash_on_text: Option<EcoString>,
     runs: IndexMap<EcoString, RunRecord>,
+    /// The cancellations of running requests by attempt id.
     cancellations: IndexMap<EcoString, Cancellation>,
+    /// Set to stall an open connection; one flag per connection.
     stall_flags: Vec<Arc<AtomicBool>>,
     crash_count: u32,
     service_times_ms: Vec<f32>,
 }
 
 impl UpstreamStandIn {
-    /// Starts on an address of this machine; port 0 takes any free port.
+    /// Starts on a local address; port 0 takes any free port.
     pub fn start(address: SocketAddr, setup: UpstreamSetup) -> std::io::Result<Self> {
         let listener = listen(address)?;
         let address = listener.local_addr()?;
@@ -121,47 +124,47 @@
         Ok(Self { address, shared, server: server.abort_handle() })
     }
 
-    /// Where it listens.
+    /// Returns the address that the upstream listens on.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Switches a fault.
+    /// Applies a fault.
     pub fn apply_fault(&self, fault: UpstreamFault) {
         self.shared.apply_fault(fault);
     }
 
-    /// Every request that it began to run, oldest first.
+    /// Returns every request that the upstream started, oldest first.
     pub fn runs(&self) -> Vec<RunRecord> {
         self.shared.lock().runs.values().cloned().collect()
     }
 
-    /// The most requests that ran at once since the last call.
+    /// Returns the maximum number of concurrent requests since the last call.
     pub fn take_max_running(&self) -> u32 {
         self.shared.max_running.swap(self.shared.running.load(Ordering::Relaxed), Ordering::Relaxed)
     }
 
-    /// How many requests it began to run.
+    /// Returns the number of requests that the upstream started.
     pub fn run_count(&self) -> u64 {
         self.shared.lock().runs.len() as u64
     }
 
-    /// Its slots.
+    /// Returns the number of slots.
     pub fn slots(&self) -> u32 {
         self.shared.setup.slots
     }
 
-    /// Requests that hold a slot now.
+    /// Returns the number of requests that hold a slot now.
     pub fn running(&self) -> u32 {
         self.shared.running.load(Ordering::Relaxed)
     }
 
-    /// How often its process died.
+    /// Returns how often the process crashed.
     pub fn crash_count(&self) -> u32 {
         self.shared.lock().crash_count
     }
 
-    /// The service times drawn since the last call, in milliseconds.
+    /// Returns the service times drawn since the last call, in milliseconds.
     pub fn take_service_times_ms(&self) -> Vec<f32> {
         std::mem::take(&mut self.shared.lock().service_times_ms)
     }
@@ -173,7 +176,7 @@
     }
 }
 
-/// Listens at an address that an earlier life may have used just before.
+/// Listens on an address that the previous process incarnation may have used just before.
 fn listen(address: SocketAddr) -> std::io::Result<TcpListener> {
     let socket = TcpSocket::new_v4()?;
     socket.set_reuseaddr(true)?;
@@ -181,15 +184,15 @@
     socket.listen(ACCEPT_BACKLOG)
 }
 
-/// Lives, dies and lives again.
+/// Serves connections until a crash, restarts after the downtime, and repeats.
 async fn serve(shared: Arc<Shared>, address: SocketAddr, first: TcpListener) {
     let mut listener = Some(first);
     loop {
-        let death = shared.crash_token.lock().unwrap_or_else(PoisonError::into_inner).clone();
+        let crash_token = shared.crash_token.lock().unwrap_or_else(PoisonError::into_inner).clone();
         let mut connections = JoinSet::new();
         if let Some(listener) = listener.take() {
             tokio::select! {
-                () = death.cancelled() => {}
+                () = crash_token.cancelled() => {}
                 () = accept_connections(&shared, listener, &mut connections) => {}
             }
         }
@@ -201,7 +204,7 @@
     }
 }
 
-/// Accepts connections for one life.
+/// Accepts and serves connections during one process incarnation.
 async fn accept_connections(
     shared: &Arc<Shared>,
     listener: TcpListener,
@@ -218,31 +221,33 @@
         connections.spawn(async move {
             let _open = CountGuard::increment(shared.clone(), |shared| &shared.open_connections);
             tokio::time::sleep(duration_from_ms(shared.setup.connect_ms)).await;
-            let silence = Arc::new(AtomicBool::new(false));
-            shared.lock().stall_flags.push(silence.clone());
+            let is_stalled = Arc::new(AtomicBool::new(false));
+            shared.lock().stall_flags.push(is_stalled.clone());
             let service = service_fn(|request| {
-                let (shared, silence) = (shared.clone(), silence.clone());
-                async move { Ok::<Answer, Infallible>(serve_request(&shared, &silence, request).await) }
+                let (shared, is_stalled) = (shared.clone(), is_stalled.clone());
+                async move {
+                    Ok::<Answer, Infallible>(serve_request(&shared, &is_stalled, request).await)
+                }
             });
             let _ = http1::Builder::new().serve_connection(TokioIo::new(stream), service).await;
         });
     }
 }
 
-/// Serves one request, unless its connection is silent.
+/// Serves one request; never returns if its connection is stalled.
 async fn serve_request(
     shared: &Arc<Shared>,
-    silence: &AtomicBool,
+    is_stalled: &AtomicBool,
     request: Request<Incoming>,
 ) -> Answer {
     tokio::time::sleep(duration_from_ms(shared.setup.round_trip_ms / 2.0)).await;
-    if silence.load(Ordering::Relaxed) {
+    if is_stalled.load(Ordering::Relaxed) {
         return std::future::pending().await;
     }
     let mut answer = route_request(shared, request).await;
     shared.add_headers(&mut answer);
     tokio::time::sleep(duration_from_ms(shared.setup.round_trip_ms / 2.0)).await;
-    if silence.load(Ordering::Relaxed) {
+    if is_stalled.load(Ordering::Relaxed) {
         return std::future::pending().await;
     }
     answer
@@ -259,7 +264,7 @@
     }
 }
 
-/// Switches a fault that came over HTTP.
+/// Applies a fault that was sent over HTTP.
 async fn handle_fault_request(shared: &Arc<Shared>, request: Request<Incoming>) -> Answer {
     let body = request.into_body().collect().await.map(http_body_util::Collected::to_bytes);
     let fault = body.ok().and_then(|body| serde_json::from_slice::<UpstreamFault>(&body).ok());
@@ -268,7 +273,7 @@
     empty_answer(StatusCode::OK)
 }
 
-/// Runs a query.
+/// Runs a query until it is answered, cancelled or past its deadline.
 async fn handle_query(shared: &Arc<Shared>, request: Request<Incoming>) -> Answer {
     let header = |name: &str| {
         request.headers().get(name).and_then(|value| value.to_str().ok()).unwrap_or("").to_owned()
@@ -285,16 +290,16 @@
     let Some(slot) = shared.acquire_slot() else {
         return not_run_answer(StatusCode::TOO_MANY_REQUESTS, &id);
     };
-    let (service_ms, cancel) = shared.start_run(&id, snapshot, &query);
-    let end = tokio::select! {
+    let (service_ms, cancellation) = shared.start_run(&id, snapshot, &query);
+    let outcome = tokio::select! {
         () = tokio::time::sleep(duration_from_ms(service_ms)) => RunOutcome::Answered,
         () = tokio::time::sleep(Duration::from_millis(deadline_ms)) => RunOutcome::DeadlineExceeded,
-        () = cancel.requested.cancelled() => RunOutcome::Cancelled,
+        () = cancellation.requested.cancelled() => RunOutcome::Cancelled,
     };
     drop(slot);
-    cancel.completed.cancel();
-    shared.finish_run(&id, end);
-    if end != RunOutcome::Answered {
+    cancellation.completed.cancel();
+    shared.finish_run(&id, outcome);
+    if outcome != RunOutcome::Answered {
         return empty_answer(StatusCode::GATEWAY_TIMEOUT);
     }
     shared.query_answer(&id, snapshot, &query)
@@ -310,8 +315,8 @@
             }
             UpstreamFault::TurnCold => state.answers_since_cold = 0,
             UpstreamFault::SilenceConnections => {
-                for silence in state.stall_flags.drain(..) {
-                    silence.store(true, Ordering::Relaxed);
+                for is_stalled in state.stall_flags.drain(..) {
+                    is_stalled.store(true, Ordering::Relaxed);
                 }
             }
             UpstreamFault::Drain { in_status, in_answers } => {
@@ -319,8 +324,8 @@
                 state.is_draining_in_answers = in_answers;
             }
             UpstreamFault::Shed(sheds) => state.is_shedding = sheds,
-            UpstreamFault::Straggle(straggle) => state.stragglers = straggle,
-            UpstreamFault::LieInStatus(lie) => state.status_override = lie,
+            UpstreamFault::Straggle(stragglers) => state.stragglers = stragglers,
+            UpstreamFault::LieInStatus(status) => state.status_override = status,
             UpstreamFault::CrossAnswers(crosses) => state.sends_wrong_id = crosses,
             UpstreamFault::Truncate(truncates) => state.truncates_answers = truncates,
             UpstreamFault::Hold(snapshots) => state.snapshots = snapshots,
@@ -328,7 +333,7 @@
         }
     }
 
-    /// Ends this process life; every connection is cut.
+    /// Ends this process incarnation and closes every connection.
     fn crash(&self, down_ms: u64) {
         let mut state = self.lock();
         state.down_ms = Some(down_ms);
@@ -341,7 +346,7 @@
         self.crash_token.lock().unwrap_or_else(PoisonError::into_inner).cancel();
     }
 
-    /// Begins a new process life, with cold caches.
+    /// Starts a new process incarnation with cold caches.
     fn restart(&self) {
         *self.crash_token.lock().unwrap_or_else(PoisonError::into_inner) = CancellationToken::new();
         let mut state = self.lock();
@@ -350,7 +355,7 @@
         state.stall_flags.clear();
     }
 
-    /// Takes a slot, if there is one.
+    /// Acquires a slot, unless all slots are taken or the upstream sheds requests.
     fn acquire_slot(self: &Arc<Self>) -> Option<CountGuard> {
         if self.lock().is_shedding {
             return None;
@@ -361,7 +366,9 @@
         (running <= self.setup.slots).then_some(slot)
     }
 
-    /// Notes that a request runs and draws how long it takes; it may kill the process.
+    /// Records that a request runs; returns its service time in milliseconds and its cancellation.
+    ///
+    /// The request may crash the process.
     fn start_run(
         &self,
         id: &EcoString,
@@ -369,9 +376,9 @@
         query: &UpstreamQuery,
     ) -> (f64, Cancellation) {
         let mut state = self.lock();
-        let cancel = Cancellation::default();
+        let cancellation = Cancellation::default();
         let body: EcoString = query.body.get().into();
-        let is_deadly =
+        let has_crash_text =
             state.crash_on_text.as_ref().is_some_and(|text| body.contains(text.as_str()));
         let run = RunRecord {
             attempt_id: id.clone(),
@@ -382,7 +389,7 @@
             outcome: None,
         };
         state.runs.insert(id.clone(), run);
-        state.cancellations.insert(id.clone(), cancel.clone());
+        state.cancellations.insert(id.clone(), cancellation.clone());
         let mut service_ms = state.draw_service_ms(self.setup.mean_service_ms);
         let cold =
             self.setup.cold_start.filter(|cold| state.answers_since_cold < cold.warm_up_answers);
@@ -391,20 +398,20 @@
         if let Some(cold) = cold {
             service_ms *= cold.slowdown_factor;
         }
-        if is_deadly || cold.is_some_and(|cold| running > cold.max_in_flight) {
-            self.crash(if is_deadly { 100 } else { 500 });
+        if has_crash_text || cold.is_some_and(|cold| running > cold.max_in_flight) {
+            self.crash(if has_crash_text { 100 } else { 500 });
         }
-        (service_ms, cancel)
+        (service_ms, cancellation)
     }
 
-    fn finish_run(&self, id: &EcoString, end: RunOutcome) {
+    fn finish_run(&self, id: &EcoString, outcome: RunOutcome) {
         let mut state = self.lock();
         state.cancellations.swap_remove(id);
-        if end == RunOutcome::Answered {
+        if outcome == RunOutcome::Answered {
             state.answers_since_cold += 1;
         }
         if let Some(run) = state.runs.get_mut(id) {
-            run.outcome = Some(end);
+            run.outcome = Some(outcome);
         }
     }
 
@@ -442,12 +449,12 @@
         Response::new(Full::from(serde_json::to_vec(&status).unwrap_or_default()))
     }
 
-    /// Cancels a request and confirms it once its slot is free.
+    /// Cancels a request and answers once its slot is free.
     async fn cancel_run(&self, id: &str) -> Answer {
-        let cancel = self.lock().cancellations.get(id).cloned();
-        if let Some(cancel) = cancel {
-            cancel.requested.cancel();
-            cancel.completed.cancelled().await;
+        let cancellation = self.lock().cancellations.get(id).cloned();
+        if let Some(cancellation) = cancellation {
+            cancellation.requested.cancel();
+            cancellation.completed.cancelled().await;
         }
         empty_answer(StatusCode::OK)
     }
@@ -477,31 +484,31 @@
         eco_format!("boot-{}", self.boot_count)
     }
 
-    /// Draws a service time in milliseconds.
+    /// Draws a service time around a mean, both in milliseconds.
     fn draw_service_ms(&mut self, mean_ms: f64) -> f64 {
         let mu = mean_ms.max(0.001).ln() - SERVICE_TIME_SIGMA * SERVICE_TIME_SIGMA / 2.0;
-        let spread =
-            LogNormal::new(mu, SERVICE_TIME_SIGMA).map(|spread| spread.sample(&mut self.rng));
-        let mut service_ms = spread.unwrap_or(mean_ms);
-        if let Some(straggle) = self.stragglers
-            && self.rng.random_bool(straggle.probability)
+        let sampled_ms = LogNormal::new(mu, SERVICE_TIME_SIGMA)
+            .map(|distribution| distribution.sample(&mut self.rng));
+        let mut service_ms = sampled_ms.unwrap_or(mean_ms);
+        if let Some(stragglers) = self.stragglers
+            && self.rng.random_bool(stragglers.probability)
         {
-            service_ms *= straggle.factor;
+            service_ms *= stragglers.factor;
         }
         self.service_times_ms.push(service_ms as f32);
         service_ms
     }
 }
 
-/// How a running request is cancelled.
+/// The tokens to cancel a running request.
 #[derive(Debug, Clone, Default)]
 struct Cancellation {
     requested: CancellationToken,
-    /// When its slot is free again.
+    /// Cancelled once the request has ended and its slot is free.
     completed: CancellationToken,
 }
 
-/// A place in a counter, given back when dropped.
+/// An increment of a counter that is undone on drop.
 struct CountGuard {
     shared: Arc<Shared>,
     counter: fn(&Shared) -> &AtomicU32,
@@ -530,7 +537,7 @@
     answer
 }
 
-/// A refusal that proves that the request did not run.
+/// Returns a refusal which states that the request did not run.
 fn not_run_answer(status: StatusCode, id: &str) -> Answer {
     let mut answer = empty_answer(status);
     set_header(&mut answer, NOT_RUN_HEADER, "true");
--- a/crates/sassafrasproxy-standin/src/upstream/setup.rs
+++ b/crates/sassafrasproxy-standin/src/upstream/setup.rs
@@ -1,40 +1,40 @@
-//! What an upstream is like, what goes wrong with it, and what it ran.
+//! The settings, faults and run records of an upstream stand-in.
 
 use ecow::EcoString;
 use sassafrasproxy_wire::{HeldSnapshot, SnapshotId, UpstreamStatus};
 use serde::{Deserialize, Serialize};
 
-/// What an upstream is like.
+/// The settings of an upstream stand-in.
 #[derive(Debug, Clone)]
 pub struct UpstreamSetup {
-    /// Requests that run at once; more are shed.
+    /// The maximum number of concurrent requests; further requests are shed.
     pub slots: u32,
-    /// Open connections; more are closed at once.
+    /// The maximum number of open connections; further connections are closed at once.
     pub max_connections: u32,
-    /// How long a new connection takes before it serves, in milliseconds.
+    /// The time that a new connection takes before it serves, in milliseconds.
     pub connect_ms: f64,
-    /// The network's time there and back, in milliseconds.
+    /// The network round-trip time, in milliseconds.
     pub round_trip_ms: f64,
-    /// The mean time that a request takes, in milliseconds.
+    /// The mean service time of a request, in milliseconds.
     pub mean_service_ms: f64,
-    /// What it is like after a start.
+    /// The behaviour after a restart, if the upstream starts cold.
     pub cold_start: Option<ColdStart>,
-    /// Requests that take far longer.
+    /// The share of requests that take far longer, if any do.
     pub stragglers: Option<Stragglers>,
-    /// The snapshots that it holds.
+    /// The snapshots that the upstream holds.
     pub snapshots: Vec<HeldSnapshot>,
-    /// The seed of its service times.
+    /// The seed of the service times.
     pub seed: u64,
 }
 
-/// What an upstream is like after a start.
+/// The behaviour of an upstream with cold caches.
 #[derive(Debug, Clone, Copy)]
 pub struct ColdStart {
-    /// How many times longer requests take at first.
+    /// The factor by which requests take longer while the upstream is cold.
     pub slowdown_factor: f64,
-    /// How many answers warm it up.
+    /// The number of answers after which the upstream is warm.
     pub warm_up_answers: u32,
-    /// The most requests at once that do not make it fall over while it is cold.
+    /// The maximum number of concurrent requests while the upstream is cold; one more crashes it.
     pub max_in_flight: u32,
 }
 
@@ -42,76 +42,76 @@
 #[derive(Debug, Clone, Copy)]
 #[derive(Serialize, Deserialize)]
 pub struct Stragglers {
-    /// How many of them, 0 to 1.
+    /// The share of requests that are slow, from 0 to 1.
     pub probability: f64,
-    /// How many times longer they take.
+    /// The factor by which slow requests take longer.
     pub factor: f64,
 }
 
-/// A fault or change that is switched on a running upstream, by a call or by
+/// A fault or change that is applied to a running upstream by `apply_fault` or by
 /// `POST /standin/fault`.
 #[derive(Debug, Clone)]
 #[derive(Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum UpstreamFault {
-    /// The process dies and starts again after a time.
+    /// The process crashes and restarts after a time.
     Crash {
-        /// How long it is away, in milliseconds.
+        /// The time until the restart, in milliseconds.
         down_ms: u64,
     },
-    /// It turns cold without a restart.
+    /// The caches turn cold without a restart.
     TurnCold,
-    /// Open connections carry nothing any more; new ones work.
+    /// Open connections stall; new ones work.
     SilenceConnections,
-    /// It says that it is leaving.
+    /// The upstream reports that it is draining, or stops doing so.
     Drain {
-        /// Whether its status says so.
+        /// Whether the status reports it.
         in_status: bool,
-        /// Whether its answers say so.
+        /// Whether answers report it in a header.
         in_answers: bool,
     },
-    /// It sheds every request, or stops doing so.
+    /// The upstream sheds every request, or stops doing so.
     Shed(bool),
-    /// Some requests take far longer.
+    /// Some requests take far longer; `None` turns this off.
     Straggle(Option<Stragglers>),
-    /// Its status says this, whatever is true.
+    /// The status is replaced by this one; `None` restores the true one.
     LieInStatus(Option<UpstreamStatus>),
-    /// Its answers carry the id of another request, or stop doing so.
+    /// Answers carry the id of another request, or stop doing so.
     CrossAnswers(bool),
-    /// Its answers end in the middle, or stop doing so.
+    /// Answers are cut off in the middle, or are complete again.
     Truncate(bool),
-    /// It holds other snapshots.
+    /// The upstream holds these snapshots instead of its current ones.
     Hold(Vec<HeldSnapshot>),
-    /// A request whose body has this text kills it.
+    /// Requests whose body contains this text crash the process; `None` turns this off.
     CrashOn(Option<EcoString>),
 }
 
-/// One request that an upstream began to run.
+/// A request that an upstream started.
 #[derive(Debug, Clone)]
 pub struct RunRecord {
-    /// The id of the send.
+    /// The id of the attempt.
     pub attempt_id: EcoString,
     /// The kind of request.
     pub kind: EcoString,
-    /// The shard.
+    /// The shard that was queried.
     pub shard: EcoString,
-    /// The snapshot.
+    /// The snapshot that was queried.
     pub snapshot: SnapshotId,
-    /// The caller's body.
+    /// The request body as JSON text.
     pub body: EcoString,
-    /// How it ended, if it did.
+    /// The outcome, once the request has ended.
     pub outcome: Option<RunOutcome>,
 }
 
-/// How a request ended in an upstream.
+/// The outcome of a request at an upstream.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RunOutcome {
-    /// It was answered.
+    /// The request was answered.
     Answered,
-    /// It was cancelled.
+    /// The request was cancelled.
     Cancelled,
-    /// Its deadline passed.
+    /// The deadline of the request passed.
     DeadlineExceeded,
-    /// The upstream died.
+    /// The upstream crashed while the request ran.
     Crashed,
 }
