--- a/crates/sassafrasproxy-soak/src/lib.rs
+++ b/crates/sassafrasproxy-soak/src/lib.rs
@@ -45,7 +45,7 @@
 /// It exceeds the four seconds after which callers give up on a stalled connection.
 const RECOVERY_TIME: Duration = Duration::from_secs(5);
 
-/// The time for which a replica may still get new requests after it reports that it drains.
+/// The time for which a replica may still get new requests after it reports that it is draining.
 ///
 /// This is the shortest bound that users set.
 const DRAIN_LIMIT: Duration = Duration::from_secs(3);
--- a/crates/sassafrasproxy-standin/examples/faults.rs
+++ b/crates/sassafrasproxy-standin/examples/faults.rs
@@ -88,8 +88,8 @@
 /// The time for which upstreams are observed after each change of a failure domain.
 const OBSERVATION_TIME: Duration = Duration::from_secs(2);
 
-/// Returns the time from `start` to the last new run, or to the first, in milliseconds; 0 if there
-/// is none.
+/// Returns the time from `start` to the last new run, or to the first if `is_first`, in
+/// milliseconds; 0 if there is none.
 async fn time_runs_ms(upstreams: &[&UpstreamStandIn], start: Instant, is_first: bool) -> f64 {
     let count = || upstreams.iter().map(|upstream| upstream.run_count()).sum::<u64>();
     let (mut last_count, mut changed_after) = (count(), Duration::ZERO);
--- a/crates/sassafrasproxy-standin/src/cluster.rs
+++ b/crates/sassafrasproxy-standin/src/cluster.rs
@@ -145,7 +145,7 @@
 
 impl Cluster {
     /// Starts the platform, upstreams and nodes, publishes the services, and waits until every node
-    /// reports all members, and homes with snapshots.
+    /// reports all members, and snapshots for every replica group.
     pub async fn start(setup: &ClusterSetup) -> Result<Self> {
         let platform = PlatformStandIn::start(any_loopback_port())?;
         let mut upstreams = IndexMap::new();
@@ -225,7 +225,7 @@
             .wrap_err("the cluster was not ready in time; check the nodes' logs and status")
     }
 
-    /// Returns whether a node reports all members, and homes that all have snapshots.
+    /// Returns whether a node reports all members, and snapshots for every replica group.
     async fn is_ready(&self, node: usize) -> Result<bool> {
         let status = self.status(node).await?;
         let has_snapshots = status.homes.iter().all(|home| !home.snapshots.is_empty());
