--- a/crates/sassafrasproxy-cli/tests/gateway_relays.rs
+++ b/crates/sassafrasproxy-cli/tests/gateway_relays.rs
@@ -52,7 +52,7 @@
     assert!(relayed_sends(&system).await >= before + 10 * SHARD_COUNT as u64);
 }
 
-/// Guards against one failed relayed part that spoils the others or is not reported as missing.
+/// Guards against one failed relayed part that invalidates the others or is not reported as missing.
 #[tokio::test(flavor = "multi_thread")]
 async fn failed_part_is_reported() {
     let system = start_two_domains().await;
@@ -107,7 +107,7 @@
     assert!(tokio::time::timeout(Duration::from_millis(200), asked).await.is_err());
     let end = Instant::now() + WAIT_TIMEOUT;
     while system.replica("s1b").cancelled_count() == 0 {
-        assert!(Instant::now() < end, "a replica still works for a caller that left");
+        assert!(Instant::now() < end, "a replica still works for a caller that disconnected");
         tokio::time::sleep(Duration::from_millis(10)).await;
     }
 }
--- a/crates/sassafrasproxy-cli/tests/gateway_requests.rs
+++ b/crates/sassafrasproxy-cli/tests/gateway_requests.rs
@@ -19,7 +19,7 @@
     assert!(answer.stamp().starts_with('d'));
     let sent = system.replica("da").received_requests();
     let left_ms = sent[0].remaining_ms.unwrap();
-    assert!(left_ms <= 1_000, "more time handed on than the route has: {left_ms}");
+    assert!(left_ms <= 1_000, "the replica got more time than the route's timeout: {left_ms}");
     assert_eq!(sent[0].target_replica_id, "da");
 }
 
@@ -52,8 +52,8 @@
 
 /// Guards against replicas that work on a query that cannot reach its minimum coverage.
 ///
-/// The replicas of too many shards are deregistered. The refusal must come at once, say truly that
-/// nothing ran, and carry a retry delay.
+/// The replicas of too many shards are deregistered. The refusal must come at once, state
+/// correctly that nothing ran, and carry a retry delay.
 #[tokio::test(flavor = "multi_thread")]
 async fn too_few_shards_are_refused() {
     let system = Cluster::start(1).await;
@@ -64,7 +64,11 @@
     let before = system.replica("s0a").started_attempt_ids().len();
     let answer = system.ask(0, "/all/7").await;
     assert_eq!(answer.status, 503);
-    assert_eq!(system.replica("s0a").started_attempt_ids().len(), before, "work for nothing");
+    assert_eq!(
+        system.replica("s0a").started_attempt_ids().len(),
+        before,
+        "a replica ran a refused query"
+    );
     assert!(answer.retry_after_s() > 0.0);
 }
 
@@ -88,7 +92,7 @@
     assert!(answer.retry_after_s() > 0.0);
 }
 
-/// Guards against callers that see the failure of one replica while another is sound.
+/// Guards against callers that get the failure of one replica while another is healthy.
 ///
 /// One replica fails, sheds load, or answers with the id of another attempt.
 #[tokio::test(flavor = "multi_thread")]
@@ -137,11 +141,11 @@
     }
     let attempt = unique_attempt_id();
     let asked = send_get(system.gateways[0].callers_address(), HOST, "/desk/7", &attempt, 20_000);
-    let left = tokio::time::timeout(Duration::from_millis(200), asked).await;
-    assert!(left.is_err(), "nothing answers");
+    let result = tokio::time::timeout(Duration::from_millis(200), asked).await;
+    assert!(result.is_err(), "an unresponsive replica answered");
     let end = Instant::now() + WAIT_TIMEOUT;
     while system.replica("da").cancelled_count() + system.replica("db").cancelled_count() == 0 {
-        assert!(Instant::now() < end, "a replica still works for a caller that left");
+        assert!(Instant::now() < end, "a replica still works for a caller that disconnected");
         tokio::time::sleep(Duration::from_millis(10)).await;
     }
 }
--- a/crates/sassafrasproxy-cli/tests/gateway_rollouts.rs
+++ b/crates/sassafrasproxy-cli/tests/gateway_rollouts.rs
@@ -54,7 +54,7 @@
     failures: Mutex<Vec<String>>,
 }
 
-/// Sends requests to the gateways in turn until the rollout has a state and 500 ms beyond.
+/// Sends requests to the gateways in turn until the rollout reaches a state, and for another 500 ms.
 async fn ask_until_state(system: &Cluster, state: &str) -> CallerResults {
     let results = Arc::new(CallerResults::default());
     let callers: Vec<_> = system.gateways.iter().map(GatewayProcess::callers_address).collect();
--- a/crates/sassafrasproxy-cli/tests/gateway_settings.rs
+++ b/crates/sassafrasproxy-cli/tests/gateway_settings.rs
@@ -12,7 +12,7 @@
 
 use crate::gateway::{Cluster, WAIT_TIMEOUT};
 
-/// Returns how long callers may keep an address list, in seconds, as the directory says.
+/// Returns the time for which the directory lets callers keep an address list, in seconds.
 async fn address_keep_s(system: &Cluster) -> u64 {
     query_directory(system.gateways[0].directory_address(), "west").await.unwrap().ttl_s
 }
--- a/crates/sassafrasproxy-cli/tests/gateway_store.rs
+++ b/crates/sassafrasproxy-cli/tests/gateway_store.rs
@@ -263,7 +263,7 @@
     }
 }
 
-/// Waits until every gateway knows all others.
+/// Waits until every gateway has logged the full number of members.
 async fn wait_for_full_membership(system: &Cluster) {
     let all = system.gateways.len() as u64;
     let knows_all = |gateway: &GatewayProcess| {
@@ -285,13 +285,13 @@
     // of each long poll of up to four seconds.
     wait_for_full_membership(&system).await;
     tokio::time::sleep(Duration::from_secs(5)).await;
-    let follows = |system: &Cluster, index: usize| {
+    let last_sync_line = |system: &Cluster, index: usize| {
         let lines = system.gateways[index].log_lines();
         lines.into_iter().rfind(|line| line["message"] == "syncing from a peer")
     };
     let end = Instant::now() + WAIT_TIMEOUT;
     let (index, line) = loop {
-        let found = added.iter().find_map(|index| Some((*index, follows(&system, *index)?)));
+        let found = added.iter().find_map(|index| Some((*index, last_sync_line(&system, *index)?)));
         if let Some(found) = found {
             break found;
         }
--- a/crates/sassafrasproxy-gateway/src/caller_server.rs
+++ b/crates/sassafrasproxy-gateway/src/caller_server.rs
@@ -18,7 +18,7 @@
 use crate::traffic::TrafficState;
 use crate::{gather, single_replica};
 
-/// The retry delay for callers of a node that knows no configuration yet, in milliseconds.
+/// The retry delay for callers of a node that has no configuration yet, in milliseconds.
 ///
 /// One read of the store usually takes far less; on a slow VM, or when the store has just become
 /// available again, it takes about this long.
--- a/crates/sassafrasproxy-gateway/src/connection_pool.rs
+++ b/crates/sassafrasproxy-gateway/src/connection_pool.rs
@@ -19,8 +19,8 @@
 /// The time before the announced keep-alive timeout from which an idle connection is not used any
 /// more, in milliseconds.
 ///
-/// If the replica closes the connection while a request is on its way, the request may have run as
-/// far as this node knows. A quarter of a second far exceeds the network delay.
+/// If the replica closes the connection while a request is on its way, this node cannot tell whether
+/// the request has run. A quarter of a second far exceeds the network delay.
 const KEEP_ALIVE_MARGIN_MS: u64 = 250;
 
 /// A connection that can carry one request at a time.
@@ -64,7 +64,9 @@
         let usable_ms = keep_alive_ms.map(|ms| ms.saturating_sub(KEEP_ALIVE_MARGIN_MS));
         let usable_until_us = usable_ms.map_or(u64::MAX, |ms| now_us + ms * US_PER_MS);
         let idle = self.idle.entry(replica.clone()).or_default();
-        idle.retain(|one| one.usable_until_us > now_us && !one.sender.is_closed());
+        idle.retain(|connection| {
+            connection.usable_until_us > now_us && !connection.sender.is_closed()
+        });
         if idle.len() >= limit {
             return;
         }
@@ -126,7 +128,7 @@
 /// Opens a connection within `limit`, and checks that it stays open for the time `quiet`.
 ///
 /// Guards against a replica over its connection limit, which resets a connection right after it
-/// accepted it. A request written before the reset may have run as far as this node knows, so a
+/// accepted it. This node cannot tell whether a request written before the reset has run, so a
 /// non-idempotent one would fail although another replica could serve it.
 pub async fn connect(
     address: SocketAddr,
--- a/crates/sassafrasproxy-gateway/src/control.rs
+++ b/crates/sassafrasproxy-gateway/src/control.rs
@@ -96,6 +96,8 @@
 }
 
 /// Runs the control thread for as long as the process runs.
+///
+/// Returns an error if the runtime or a socket cannot be set up.
 pub fn run(setup: ControlSetup) -> std::io::Result<()> {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
     let ControlSetup { clock, settings, local_member, metrics, view, .. } = setup;
@@ -157,7 +159,7 @@
     pub async fn wait_past_revision(&self, revision: u64) {
         let mut revisions = self.store_revision.subscribe();
         // Cannot fail: `self` owns the sender.
-        let _ = revisions.wait_for(|known| *known > revision).await;
+        let _ = revisions.wait_for(|applied| *applied > revision).await;
     }
 
     /// Whether the store is unavailable to this node, so that it pulls registry entries from peers.
@@ -172,9 +174,9 @@
 
     /// Raises the applied store revision, and announces it to peers; a lower revision is ignored.
     pub fn advance_revision(&self, revision: u64) {
-        self.store_revision.send_if_modified(|known| {
-            let is_newer = revision > *known;
-            *known = revision.max(*known);
+        self.store_revision.send_if_modified(|applied| {
+            let is_newer = revision > *applied;
+            *applied = revision.max(*applied);
             is_newer
         });
         self.gossip.borrow_mut().set_store_revision(self.store_revision());
@@ -398,9 +400,9 @@
         DiscoveryLogEvent::ConfigurationActivated { version } => {
             log::info!(version, store_revision; "a configuration is in force");
         }
-        DiscoveryLogEvent::OlderConfigurationIgnored { version, active_version: in_force } => {
+        DiscoveryLogEvent::OlderConfigurationIgnored { version, active_version } => {
             log::warn!(
-                version, in_force, store_revision;
+                version, in_force = active_version, store_revision;
                 "ignored a configuration older than the active one"
             );
         }
--- a/crates/sassafrasproxy-gateway/src/directory.rs
+++ b/crates/sassafrasproxy-gateway/src/directory.rs
@@ -53,7 +53,7 @@
 
 /// Answers the readiness check: 200 if callers should be sent to this node, 503 if not.
 ///
-/// A node is ready while it knows a configuration and is not shutting down.
+/// A node is ready while it has a configuration and is not shutting down.
 pub async fn serve_ready(
     traffic: Rc<TrafficState>,
     _request: Request<Incoming>,
--- a/crates/sassafrasproxy-gateway/src/gateway.rs
+++ b/crates/sassafrasproxy-gateway/src/gateway.rs
@@ -85,12 +85,17 @@
 
 impl Gateway {
     /// Binds the sockets that the settings name; port 0 takes any free port.
+    ///
+    /// Returns an error if a socket cannot be bound or set up.
     pub fn bind(settings: GatewaySettings, settings_file: PathBuf) -> Result<Self, GatewayError> {
         let sockets = Sockets::bind(&settings)?;
         Ok(Self { settings: Arc::new(settings), settings_file, sockets })
     }
 
     /// Serves traffic on the current thread until SIGTERM or SIGINT, then shuts down gracefully.
+    ///
+    /// Returns [`GatewayError::Start`] if a thread, the runtime, a socket or a signal handler cannot
+    /// be set up.
     pub fn run(self) -> Result<(), GatewayError> {
         let clock = Clock::start();
         let local_member = self.local_member()?;
@@ -182,7 +187,7 @@
             cpu_millis: (self.settings.cpu_share * 1_000.0) as u32,
             state: MemberState::Alive,
             // The wall time is greater than the incarnation of any earlier run of this node, so
-            // members replace what they know of that run.
+            // members replace their entry of that run.
             incarnation: unix_time_ms(),
         })
     }
@@ -244,8 +249,8 @@
 
 /// Shuts down gracefully within the grace time.
 ///
-/// Accepts connections while callers learn of other nodes from the directory, then stops accepting
-/// and waits for in-flight requests.
+/// Accepts connections while callers get other nodes' addresses from the directory, then stops
+/// accepting and waits for in-flight requests.
 async fn shut_down(traffic: &TrafficState, stop: &watch::Sender<bool>) {
     let grace = Duration::from_millis(traffic.settings().grace_ms);
     traffic.is_leaving.set(true);
--- a/crates/sassafrasproxy-gateway/src/gather.rs
+++ b/crates/sassafrasproxy-gateway/src/gather.rs
@@ -59,7 +59,9 @@
     fetch_plan: FetchPlan,
     plan: GatherPlan,
     shards: Vec<Shard>,
-    /// Every received shard belongs to one batch, and a merged batch to all of its shards.
+    /// The received batches, also those that a relay reply has replaced.
+    ///
+    /// A batch is part of the answer only if the state of each of its shards refers to it.
     batches: Vec<RecordBatch>,
     sends: SendTasks,
     events: mpsc::UnboundedSender<GatherEvent>,
@@ -75,7 +77,7 @@
     SendFinished(usize, UpstreamResult),
     /// A relay call has reported the results of some of its sends.
     RelayReplied {
-        /// The result of each shard's send.
+        /// The results of the sends that have ended.
         parts: Vec<RelayPartResult>,
         /// The merged records of the answered parts.
         records: Bytes,
@@ -141,7 +143,9 @@
     Refused(Answer),
 }
 
-/// Refuses a query before any replica works on it if too few shards can be asked soon.
+/// Decides whether a query starts now, waits, or is refused.
+///
+/// A query is refused, before any replica works on it, if too few shards will be usable soon.
 fn admit_query(
     traffic: &TrafficState,
     request: &CallerRequest,
@@ -181,7 +185,7 @@
 
 /// Returns the shards to exclude, so that their slow replicas serve queries that need them more.
 ///
-/// If the query needs slow replicas itself, it reserves those of the shards that have them.
+/// If the query needs a shard with only slow replicas, it reserves the replicas of all such shards.
 fn choose_excluded_shards(
     traffic: &TrafficState,
     request: &CallerRequest,
@@ -336,7 +340,7 @@
         self.sends.push(start_send(self.traffic, spec, on_result));
     }
 
-    /// Makes the deferred sends, by nodes in the failure domain of the replicas where that helps.
+    /// Makes the deferred sends: directly, or through relays in the failure domain of the replicas.
     fn send_deferred(&mut self) {
         let mut by_domain: IndexMap<EcoString, Vec<DeferredSend>> = IndexMap::new();
         for send in std::mem::take(&mut self.deferred) {
@@ -431,8 +435,8 @@
 
     /// Records the parts that a relay call reported; returns their shards.
     ///
-    /// The records are merged, so either all answered parts are used or none. If a second send
-    /// brought the part of one of these shards in the meantime, the relayed part replaces it.
+    /// The records are merged, so either all answered parts are used or none. If a hedge or retry
+    /// has delivered the part of one of these shards in the meantime, the relayed part replaces it.
     fn handle_relay_reply(&mut self, parts: Vec<RelayPartResult>, records: Bytes) -> Vec<usize> {
         let shards = parts.iter().map(|part| part.shard).collect();
         let mut stamps = Vec::with_capacity(parts.len());
--- a/crates/sassafrasproxy-gateway/src/http_client.rs
+++ b/crates/sassafrasproxy-gateway/src/http_client.rs
@@ -44,7 +44,8 @@
 
     /// Makes a call and returns the status and the body.
     ///
-    /// Fails after `limit`. After any failure the next call uses a new connection.
+    /// Returns [`StoreError::NoAnswer`] if the connection fails, or if the answer is not complete
+    /// within `limit`. After any failure the next call uses a new connection.
     pub async fn call(
         &mut self,
         call: StoreRequest,
@@ -86,11 +87,11 @@
     }
 
     async fn sender(&mut self) -> Result<&mut SendRequest<Full<Bytes>>, StoreError> {
-        let kept = match self.sender.take() {
+        let existing = match self.sender.take() {
             Some(mut sender) => sender.ready().await.is_ok().then_some(sender),
             None => None,
         };
-        let sender = match kept {
+        let sender = match existing {
             Some(sender) => sender,
             None => connect(self.address).await?,
         };
--- a/crates/sassafrasproxy-gateway/src/metrics.rs
+++ b/crates/sassafrasproxy-gateway/src/metrics.rs
@@ -110,7 +110,7 @@
         metrics
     }
 
-    /// Encodes all metrics as text.
+    /// Encodes all metrics as text; returns an error if the encoder fails.
     pub fn text(&self) -> Result<String, std::fmt::Error> {
         let mut text = String::new();
         encode(&mut text, &self.registry)?;
--- a/crates/sassafrasproxy-gateway/src/peer_gossip.rs
+++ b/crates/sassafrasproxy-gateway/src/peer_gossip.rs
@@ -24,7 +24,7 @@
     pub from_peers: mpsc::UnboundedSender<CrashReport>,
 }
 
-/// The channels for what is sent to peers while a version is on trial.
+/// The channels for the trial reports and stopped rollouts that are sent to peers.
 pub struct TrialChannels {
     /// Trial reports from the traffic thread.
     pub local_reports: mpsc::UnboundedReceiver<Vec<TrialReport>>,
@@ -55,8 +55,8 @@
             }
             received = socket.recv_from(&mut buffer) => match received {
                 Ok((length, from)) => handle_datagram(&state, &buffer[..length], from, &crashes.from_peers),
-                // An earlier datagram was refused; the missing heartbeats show that the member is
-                // down.
+                // No process received an earlier datagram; the missing heartbeats show that the
+                // member is down.
                 Err(error) => {
                     log::debug!(error:%; "receiving a datagram failed");
                     Vec::new()
--- a/crates/sassafrasproxy-gateway/src/peer_sync.rs
+++ b/crates/sassafrasproxy-gateway/src/peer_sync.rs
@@ -64,7 +64,7 @@
     is_delta: bool,
     /// Whether the store is unavailable to the peer.
     is_store_unavailable: bool,
-    /// How much longer expired entries may be registered again, in milliseconds.
+    /// The remaining time in which expired entries may be registered again, in milliseconds.
     expired_hold_ms: u64,
 }
 
@@ -234,8 +234,8 @@
 /// Applies a peer's update to the registry.
 fn apply_update(state: &ControlState, update: PeerUpdate) {
     let hold_until_us = state.clock.now_us() + update.expired_hold_ms * US_PER_MS;
-    // Applies also if the peer itself synced from another peer: the node that read the store
-    // decides how long expired entries may come back, and each peer passes that time on.
+    // Holds also for a peer that itself synced from another peer: the node that read the store
+    // decides how long expired entries may be registered again, and each peer passes that time on.
     state.apply_events([DiscoveryEvent::PeerSyncStarted]);
     let revision = update.revision;
     let hold = (update.expired_hold_ms > 0)
--- a/crates/sassafrasproxy-gateway/src/relay_call.rs
+++ b/crates/sassafrasproxy-gateway/src/relay_call.rs
@@ -18,7 +18,8 @@
 
 /// The time by which a relay call may be later than a direct send before it counts as stalled.
 ///
-/// The relay waits 3 ms to put several parts into one reply, and the slowest part counts.
+/// The relay holds an ended part for up to 3 ms, to merge several parts into one reply, and a call
+/// lasts as long as its slowest part.
 const RELAY_STALL_MARGIN_US: u64 = 15_000;
 
 /// The time for which a relay call waits for replies past its deadline, in microseconds.
@@ -93,19 +94,19 @@
             }
             Err(_) => SendOutcome::TimedOut,
         };
-        let is_sent = guard.outcome == SendOutcome::TimedOut;
+        let may_have_run = guard.outcome == SendOutcome::TimedOut;
         drop(guard);
         if pending_sends.is_empty() {
             return;
         }
         // After a timeout, the replicas may have run the sends that the relay did not report.
-        let result = if is_sent { SendResult::MayHaveRun } else { SendResult::Unsent };
-        let ended = pending_sends.keys().map(|shard| RelayPartResult {
+        let result = if may_have_run { SendResult::MayHaveRun } else { SendResult::Unsent };
+        let unreported = pending_sends.keys().map(|shard| RelayPartResult {
             shard: *shard,
             result,
             stamp: None,
         });
-        on_reply(ended.collect(), Bytes::new());
+        on_reply(unreported.collect(), Bytes::new());
     })
     .abort_handle()
 }
@@ -163,10 +164,12 @@
     Ok(())
 }
 
-/// Converts the end that a relay reports for a send into the outcome for the replica, the result
-/// for the fetch, and the stamp of the replica if it answered.
-fn interpret_relay_end(end: RelayPartOutcome) -> (SendOutcome, SendResult, Option<EcoString>) {
-    match end {
+/// Converts the outcome that a relay reports for a send into the outcome for the replica, the
+/// result for the fetch, and the stamp of the replica if it answered.
+fn interpret_relay_end(
+    part_outcome: RelayPartOutcome,
+) -> (SendOutcome, SendResult, Option<EcoString>) {
+    match part_outcome {
         RelayPartOutcome::Answered { stamp } => {
             (SendOutcome::Answered, SendResult::Answered, Some(stamp))
         }
--- a/crates/sassafrasproxy-gateway/src/relay_pool.rs
+++ b/crates/sassafrasproxy-gateway/src/relay_pool.rs
@@ -91,7 +91,7 @@
         }
     }
 
-    /// Updates the relays to the known nodes.
+    /// Replaces the relays with those among the given nodes.
     ///
     /// A node is a relay if it has at least half the CPU of the largest node of its failure
     /// domain.
@@ -152,7 +152,7 @@
         self.largest_cpu_by_domain.borrow().get(domain).copied().unwrap_or(0)
     }
 
-    /// Returns up to `count` usable relays of a failure domain that probably answer first.
+    /// Returns up to `count` usable relays of a failure domain, those expected to answer first.
     pub fn pick_relays(
         &self,
         domain: &str,
@@ -203,22 +203,24 @@
     pub async fn call(
         &self,
         relay: &EcoString,
-        mut ask: RelayCall,
+        mut relay_call: RelayCall,
     ) -> eyre::Result<PendingRelayCall> {
         let connection = self.connection(relay).await?;
         let id = self.next_id.get();
         self.next_id.set(id + 1);
-        ask.id = id;
+        relay_call.id = id;
         let (reply_sender, replies) = mpsc::unbounded_channel();
         connection.pending_calls.borrow_mut().insert(id, reply_sender);
-        connection.requests.send(RelayRequest::Call(ask))?;
+        connection.requests.send(RelayRequest::Call(relay_call))?;
         Ok(PendingRelayCall { id, connection, replies, is_finished: false })
     }
 
     /// Returns the connection to a relay, and opens one if there is none.
     async fn connection(&self, relay: &EcoString) -> eyre::Result<RelayConnection> {
-        if let Some(known) = self.connections.borrow().get(relay).filter(|known| known.is_open()) {
-            return Ok(known.clone());
+        if let Some(existing) =
+            self.connections.borrow().get(relay).filter(|existing| existing.is_open())
+        {
+            return Ok(existing.clone());
         }
         let address = self.addresses.borrow().get(relay).copied();
         let address = address.ok_or_else(|| {
@@ -229,7 +231,7 @@
         let (requests, queued_requests) = mpsc::unbounded_channel();
         let connection = RelayConnection { requests, pending_calls: Rc::default() };
         spawn_local(run_connection(stream, queued_requests, connection.pending_calls.clone()));
-        // Two callers may have connected at the same time; the later connection is kept.
+        // Two tasks may have connected at the same time; the later connection is kept.
         self.connections.borrow_mut().insert(relay.clone(), connection.clone());
         Ok(connection)
     }
@@ -283,6 +285,6 @@
             }
         }
     }
-    // Dropping the senders tells the pending calls that the connection has ended.
+    // Dropping the senders ends the reply channels of the pending calls.
     pending_calls.borrow_mut().clear();
 }
--- a/crates/sassafrasproxy-gateway/src/relay_server.rs
+++ b/crates/sassafrasproxy-gateway/src/relay_server.rs
@@ -77,12 +77,12 @@
             frame = frames.next() => {
                 let Some(Ok(frame)) = frame else { return };
                 match postcard::from_bytes(&frame) {
-                    Ok(RelayRequest::Call(ask)) => {
-                        let id = ask.id;
+                    Ok(RelayRequest::Call(call)) => {
+                        let id = call.id;
                         let (traffic, reply_sender, finished_sender) =
                             (traffic.clone(), reply_sender.clone(), finished_sender.clone());
                         let task = spawn_local(async move {
-                            serve_relay_call(traffic, ask, reply_sender).await;
+                            serve_relay_call(traffic, call, reply_sender).await;
                             // The channel is closed if the connection has ended.
                             let _ = finished_sender.send(id);
                         });
@@ -126,28 +126,31 @@
 /// Sends to all replicas of a relay call, and replies as the sends end.
 async fn serve_relay_call(
     traffic: Rc<TrafficState>,
-    ask: RelayCall,
+    call: RelayCall,
     replies: mpsc::UnboundedSender<RelayReply>,
 ) {
-    let Some(request) = decode_caller_request(&traffic, &ask) else {
-        let all = ask.parts.iter().map(|part| RelayReplyPart {
+    let Some(request) = decode_caller_request(&traffic, &call) else {
+        let all = call.parts.iter().map(|part| RelayReplyPart {
             shard_index: part.shard_index,
             outcome: RelayPartOutcome::Unsent,
             reported_load: None,
         });
-        let _ =
-            replies.send(RelayReply { id: ask.id, parts: all.collect(), record_batch: Vec::new() });
+        let _ = replies.send(RelayReply {
+            id: call.id,
+            parts: all.collect(),
+            record_batch: Vec::new(),
+        });
         return;
     };
     let request = Rc::new(request);
     let (result_sender, mut results) = mpsc::unbounded_channel();
     let mut sends = SendTasks::default();
-    let timing = traffic.route_send_timing(&ask.route);
-    for part in &ask.parts {
-        let send = start_part_send(&traffic, &ask, part, &request, timing, result_sender.clone());
+    let timing = traffic.route_send_timing(&call.route);
+    for part in &call.parts {
+        let send = start_part_send(&traffic, &call, part, &request, timing, result_sender.clone());
         send.into_iter().for_each(|send| sends.push(send));
     }
-    let mut pending = ask.parts.len();
+    let mut pending = call.parts.len();
     let mut ready: Vec<(usize, UpstreamResult)> = Vec::new();
     let mut flush_at: Option<Instant> = None;
     while pending > 0 {
@@ -160,20 +163,20 @@
             () = sleep_until(flush_at.unwrap_or_else(Instant::now)), if flush_at.is_some() => {
                 flush_at = None;
                 // The channel is closed if the connection has ended, which also aborts this task.
-                let _ = replies.send(build_reply(&ask, std::mem::take(&mut ready)));
+                let _ = replies.send(build_reply(&call, std::mem::take(&mut ready)));
             }
         }
     }
     sends.detach();
-    let _ = replies.send(build_reply(&ask, ready));
+    let _ = replies.send(build_reply(&call, ready));
 }
 
 /// Starts the send of a part.
 ///
-/// Returns `None` and reports the part as unsent if this node does not know the replica yet.
+/// Returns `None` and reports the part as unsent if the replica is not in this node's pool yet.
 fn start_part_send(
     traffic: &Rc<TrafficState>,
-    ask: &RelayCall,
+    call: &RelayCall,
     part: &RelayPart,
     request: &Rc<CallerRequest>,
     timing: Option<SendTiming>,
@@ -195,7 +198,7 @@
     });
     let spec = SendSpec {
         request: request.clone(),
-        route: ask.route.clone(),
+        route: call.route.clone(),
         replica,
         send_id: send_id.unwrap_or(UNTRACKED_SEND_ID),
         deadline_us: request.deadline_us,
@@ -206,33 +209,33 @@
 }
 
 /// Decodes the caller's request from a relay call; `None` if it is not a valid HTTP request.
-fn decode_caller_request(traffic: &TrafficState, ask: &RelayCall) -> Option<CallerRequest> {
-    let mut headers = HeaderMap::with_capacity(ask.headers.len());
-    for (name, value) in &ask.headers {
+fn decode_caller_request(traffic: &TrafficState, call: &RelayCall) -> Option<CallerRequest> {
+    let mut headers = HeaderMap::with_capacity(call.headers.len());
+    for (name, value) in &call.headers {
         let name = HeaderName::from_bytes(name.as_bytes()).ok()?;
         headers.append(name, HeaderValue::from_bytes(value).ok()?);
     }
     let arrived_us = traffic.clock.now_us();
     Some(CallerRequest {
-        attempt_id: ask.attempt_id.clone(),
-        method: Method::from_bytes(ask.method.as_bytes()).ok()?,
-        uri: ask.uri.parse::<Uri>().ok()?,
+        attempt_id: call.attempt_id.clone(),
+        method: Method::from_bytes(call.method.as_bytes()).ok()?,
+        uri: call.uri.parse::<Uri>().ok()?,
         headers,
-        body: Bytes::from(ask.body.clone()),
+        body: Bytes::from(call.body.clone()),
         arrived_us,
-        deadline_us: arrived_us + ask.remaining_us,
+        deadline_us: arrived_us + call.remaining_us,
         elapsed_before_arrival_us: 0,
-        fingerprint: ask.fingerprint,
+        fingerprint: call.fingerprint,
     })
 }
 
 /// Returns one reply for parts that have ended, with the top records of all answered parts.
-fn build_reply(ask: &RelayCall, results: Vec<(usize, UpstreamResult)>) -> RelayReply {
+fn build_reply(call: &RelayCall, results: Vec<(usize, UpstreamResult)>) -> RelayReply {
     let mut parts = Vec::with_capacity(results.len());
     let mut bodies: Vec<Bytes> = Vec::with_capacity(results.len());
     for (shard, result) in results {
-        let reported = result.reported_load();
-        let end = match result {
+        let reported_load = result.reported_load();
+        let outcome = match result {
             UpstreamResult::Answered(answer) => match answer.head.stamp {
                 Some(stamp) if answer.status.is_success() => {
                     bodies.push(answer.body);
@@ -246,8 +249,8 @@
             UpstreamResult::Lost => RelayPartOutcome::Lost,
             UpstreamResult::TimedOut => RelayPartOutcome::TimedOut,
         };
-        parts.push(RelayReplyPart { shard_index: shard, outcome: end, reported_load: reported });
+        parts.push(RelayReplyPart { shard_index: shard, outcome, reported_load });
     }
-    let records = merge_records(bodies.iter().map(AsRef::as_ref), ask.top_k);
-    RelayReply { id: ask.id, parts, record_batch: records }
+    let records = merge_records(bodies.iter().map(AsRef::as_ref), call.top_k);
+    RelayReply { id: call.id, parts, record_batch: records }
 }
--- a/crates/sassafrasproxy-gateway/src/request.rs
+++ b/crates/sassafrasproxy-gateway/src/request.rs
@@ -7,8 +7,8 @@
 use sassafrasproxy_platform::{CallerHead, is_forwarded};
 use sassafrasproxy_wire::Route;
 
-/// The divisor of the caller's waiting time that gives the answer reserve: the time kept for the
-/// answer's way to the caller.
+/// The divisor of the caller's waiting time that gives the answer reserve: the time reserved for the
+/// answer to reach the caller.
 const ANSWER_RESERVE_DIVISOR: u64 = 50;
 
 /// The minimum answer reserve, in milliseconds.
--- a/crates/sassafrasproxy-gateway/src/single_replica.rs
+++ b/crates/sassafrasproxy-gateway/src/single_replica.rs
@@ -128,7 +128,7 @@
     refusal_answer(&traffic.metrics, refusal, None)
 }
 
-/// Logs why a request cannot be sent to another replica; the answer does not say it.
+/// Logs why a request cannot be sent to another replica; the answer does not contain the reason.
 fn log_failure(request: &CallerRequest, fetch: &Fetch, failure: FetchFailure) {
     let (request, service, last) = (&request.attempt_id, fetch.service(), fetch.last_replica());
     let FetchFailure { reason, may_have_run } = failure;
--- a/crates/sassafrasproxy-gateway/src/store_follower.rs
+++ b/crates/sassafrasproxy-gateway/src/store_follower.rs
@@ -25,7 +25,7 @@
 /// The number of consecutive comparisons that must find this node behind before a watch is aborted.
 ///
 /// Two nodes' watches return the same change at most 0.4 s apart, which is the pause after a
-/// change: a node that only pauses can look behind in one comparison, but not in two.
+/// change: a node that only pauses can seem behind in one comparison, but not in two.
 const LAG_CHECK_COUNT: u32 = 2;
 
 /// The interval at which a starting node checks whether a peer to bootstrap from is known.
@@ -101,7 +101,7 @@
 /// Bootstraps the registry from a peer if this node should use one; returns whether it did.
 ///
 /// A node that already gets requests reads the store at once: when all nodes restart, the directory
-/// of a node that knows no peers names the node itself, so callers are sent to it and refused.
+/// of a node that knows no peers lists the node itself, so callers are sent to it and refused.
 async fn bootstrap_from_peer(
     state: &ControlState,
     peer: &mut FollowedPeer,
--- a/crates/sassafrasproxy-gateway/src/traffic.rs
+++ b/crates/sassafrasproxy-gateway/src/traffic.rs
@@ -32,7 +32,7 @@
 /// The time after its start for which a node waits for relays before it connects to other failure
 /// domains itself, in microseconds.
 ///
-/// A node hears of its peers within two heartbeats of half a second.
+/// A node discovers its peers within two heartbeats, which are half a second apart.
 const RELAY_DISCOVERY_WAIT_US: u64 = 1_000_000;
 
 /// The timeout of a preconnect attempt.
@@ -53,7 +53,7 @@
     request_quarantine: RefCell<RequestQuarantine>,
     /// Set to true when a caller is refused because no configuration is known yet.
     pub configuration_needed: watch::Sender<bool>,
-    /// Carries the crashes that this thread detects to the control thread, which tells the peers.
+    /// Passes the crashes that this thread detects to the control thread, which sends them to peers.
     crash_reports: mpsc::UnboundedSender<CrashReport>,
     route_latencies: RefCell<IndexMap<EcoString, RouteLatencies>>,
     split_round_robins: RefCell<IndexMap<EcoString, WeightedRoundRobin>>,
@@ -233,7 +233,7 @@
     /// Returns the send timing of a fan-out route by its name; `None` if the route is unknown.
     pub fn route_send_timing(&self, route: &EcoString) -> Option<SendTiming> {
         let catalogue = self.catalogue();
-        let route = catalogue.routes.routes().find(|one| one.name == *route)?;
+        let route = catalogue.routes.routes().find(|candidate| candidate.name == *route)?;
         let goal_us = route.goal_ms * US_PER_MS;
         let mut latencies = self.route_latencies.borrow_mut();
         let latencies = latencies.entry(route.name.clone()).or_default();
@@ -296,7 +296,8 @@
     /// Whether the directory sends callers of this node's failure domain here.
     ///
     /// A node that is not in the directory serves few requests and opens connections on demand.
-    /// Where few of the nodes are in the directory, the others would hold most of the connections.
+    /// If such nodes preconnected too, they would hold most of the connections where the directory
+    /// lists few nodes.
     fn is_in_directory(&self) -> bool {
         let domain = self.settings().failure_domain.clone();
         let nodes = &self.view.borrow().nodes;
@@ -316,7 +317,7 @@
         *domain == self.settings().failure_domain || (has_waited && !self.relays.has_relay(domain))
     }
 
-    /// Returns a connection to the pool; its last answer, if any, is complete.
+    /// Returns a connection to the pool; its last answer, if any, must be complete.
     pub fn return_connection(
         &self,
         replica: &EcoString,
@@ -332,7 +333,7 @@
     /// Opens a connection to a replica before the first request needs it.
     ///
     /// A handshake takes a replica a few milliseconds. Without this, the first query to a new set
-    /// of shards would spend them on every shard.
+    /// of shards would wait for a handshake per shard.
     async fn preconnect(self: Rc<Self>, entry: Arc<ReplicaEntry>) {
         let is_eligible =
             |id: &str| self.catalogue().replicas.get(id).is_some_and(|replica| replica.is_eligible);
--- a/crates/sassafrasproxy-gateway/src/upstream.rs
+++ b/crates/sassafrasproxy-gateway/src/upstream.rs
@@ -27,8 +27,8 @@
 
 /// The time for which a new connection must stay open before it carries a non-idempotent request.
 ///
-/// A replica over its connection limit resets a connection when it accepts it: a few milliseconds
-/// plus the network delay between failure domains after the connect.
+/// A replica over its connection limit resets a connection when it accepts it. The reset arrives a
+/// few milliseconds plus the network delay between failure domains after the connect.
 const RESET_DETECTION_TIME: Duration = Duration::from_millis(10);
 
 /// The time for which a send waits for the answer past its deadline.
@@ -103,7 +103,7 @@
     }
 }
 
-/// Whether a status is a failure that another replica may not have.
+/// Whether a status is a failure that a retry on another replica may avoid.
 pub fn is_failure(status: StatusCode) -> bool {
     status.is_server_error()
 }
--- a/crates/sassafrasproxy-gateway/src/view.rs
+++ b/crates/sassafrasproxy-gateway/src/view.rs
@@ -11,6 +11,7 @@
     pub catalogue: Arc<Catalogue>,
     /// All nodes that are not dead, as the directory needs them.
     pub nodes: Arc<Vec<DirectoryNode>>,
-    /// The number of nodes according to the registrations in the store.
+    /// The highest node count that a registration in the store reports, or the number of
+    /// registrations if that is greater.
     pub registered_node_count: usize,
 }
--- a/crates/sassafrasproxy-gateway/tests/new_connections.rs
+++ b/crates/sassafrasproxy-gateway/tests/new_connections.rs
@@ -42,11 +42,11 @@
         let address = start_resetting_replica();
         let error = connect(address, LONG_WAIT, LONG_WAIT).await.unwrap_err();
         assert!(matches!(error, ConnectError::Closed | ConnectError::Io(_)), "{error}");
-        assert!(!error.is_process_gone(), "the replica lives");
+        assert!(!error.is_process_gone(), "a reset counts as an ended process");
     });
 }
 
-/// Guards against a sound connection that is refused: one that stays open must be accepted.
+/// Guards against a healthy connection that is refused: one that stays open must be accepted.
 #[test]
 fn quiet_connection_is_accepted() {
     run_on_one_thread(async {
