--- a/crates/sassafrasproxy-gateway/src/control.rs
+++ b/crates/sassafrasproxy-gateway/src/control.rs
@@ -267,9 +267,9 @@
             (true, "on_trial_answered", "on_trial_failed", "on_trial_slow"),
             (false, "in_use_answered", "in_use_failed", "in_use_slow"),
         ] {
-            let sum = |of: fn(&TrialCount) -> u32| {
+            let sum = |value_of: fn(&TrialCount) -> u32| {
                 let of_version = counts().filter(|count| count.is_on_trial == is_on_trial);
-                of_version.map(of).sum::<u32>()
+                of_version.map(value_of).sum::<u32>()
             };
             let outcomes = [
                 (answered, sum(|count| count.ended - count.failed - count.slow)),
--- a/crates/sassafrasproxy-gateway/src/gateway.rs
+++ b/crates/sassafrasproxy-gateway/src/gateway.rs
@@ -36,8 +36,8 @@
 
 /// The fraction of the grace time in which a leaving node still accepts connections.
 ///
-/// By its end most callers have asked the directory again; the others get a refused connection and
-/// use another node at once.
+/// By the end of that time most callers have asked the directory again; the others get a refused
+/// connection and use another node at once.
 const ACCEPT_FRACTION: f64 = 0.55;
 
 /// The fraction of the grace time after which a leaving node cuts off in-flight requests.
--- a/crates/sassafrasproxy-gateway/src/traffic.rs
+++ b/crates/sassafrasproxy-gateway/src/traffic.rs
@@ -26,7 +26,7 @@
 use crate::rollouts::TRIAL_INTERVAL;
 use crate::view::GatewayView;
 
-/// The number of nodes assumed before any are known, for the share of each node in common limits.
+/// The minimum node count that a node assumes when it computes its share of common limits.
 const ASSUMED_MIN_NODES: usize = 8;
 
 /// The time after its start for which a node waits for relays before it connects to other failure
@@ -70,7 +70,7 @@
     /// The maximum keeps a node from taking the share of others in common limits during a
     /// partition, when each side sees only some of the nodes.
     max_node_count: Cell<usize>,
-    /// The maximum number of ingress nodes at once, for the same reason.
+    /// The maximum number of ingress nodes that this process has seen at once, for the same reason.
     max_ingress_node_count: Cell<usize>,
     /// Whether this is an ingress node.
     is_ingress: Cell<bool>,
@@ -177,7 +177,7 @@
         }
     }
 
-    /// Whether a request has crashed so many replicas that it is not sent to any more.
+    /// Whether a request has crashed so many replicas that this node must not send it to another.
     pub fn is_quarantined(&self, fingerprint: u64) -> bool {
         self.request_quarantine.borrow_mut().is_quarantined(self.clock.now_us(), fingerprint)
     }
--- a/crates/sassafrasproxy-gateway/src/upstream.rs
+++ b/crates/sassafrasproxy-gateway/src/upstream.rs
@@ -309,6 +309,7 @@
     let response = match sender.try_send_request(upstream).await {
         Ok(response) => response,
         Err(error) => {
+            // The error holds the request if none of it was written to the connection.
             let is_unsent = error.message().is_some();
             spec.log_failure(error.error());
             if is_unsent {
