--- a/crates/sassafrasproxy-config/src/chunks.rs
+++ b/crates/sassafrasproxy-config/src/chunks.rs
@@ -1,12 +1,13 @@
-//! How a configuration is laid out in the platform's store.
+//! The layout of a configuration in the platform's store.
 //!
-//! The head is the one commit point. Services stand in chunks that are named by their content, so
-//! that a change rewrites, and a node reads, only the chunks that differ; taking a failure domain
-//! out rewrites the head alone.
+//! The head is the only commit point. Services are stored in chunks whose names depend on their
+//! content, so a change rewrites only the chunks that differ, and a node reads only those. Taking
+//! a failure domain out of service rewrites only the head.
 //!
-//! A chunk's name is the revision that wrote it and the hash of its text. Guards against a
-//! publisher that removes what it replaced while another writes the same content again: the two
-//! have different names, so a name that any head can still come to use is never removed.
+//! A chunk's name consists of the revision that wrote it and the hash of its text. While one
+//! publisher deletes a chunk that it replaced, another may write the same content again. The
+//! revision gives the two chunks different names, so a chunk that a head may still come to
+//! reference is never deleted.
 
 use ecow::{EcoString, eco_format};
 use indexmap::{IndexMap, IndexSet};
@@ -16,80 +17,87 @@
 
 use crate::check_configuration;
 
-/// The key of the head.
+/// The store key of the configuration head.
 pub const HEAD_KEY: &str = "configuration/head";
 
-/// The size that chunks are laid out for, in bytes; far below the store's largest value.
+/// The target for the average chunk size, in bytes; far below the largest value that the store
+/// accepts.
 const TARGET_CHUNK_BYTES: usize = 65_536;
 
 /// One chunk of services.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Chunk {
-    /// The revision that wrote it and the hash of its text.
+    /// The revision that wrote the chunk and the hash of its text, as `revision-hash`.
     pub name: EcoString,
-    /// The services as JSON.
+    /// The services, as a JSON array.
     pub text: EcoString,
 }
 
-/// The error of a configuration that cannot be put together.
+/// The reason why a configuration cannot be assembled from its head and chunks.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 pub enum AssembleError {
-    /// A chunk that the head names was not given.
+    /// A chunk that the head references is missing.
     #[error("chunk {name} of revision {revision} is missing; read the head again")]
     MissingChunk {
-        /// The chunk.
+        /// The chunk's name.
         name: EcoString,
         /// The revision.
         revision: u64,
     },
-    /// A chunk's text is not what its name says.
-    #[error("chunk {name} of revision {revision} has other content than its name says")]
+    /// A chunk's text does not match the hash in its name.
+    #[error(
+        "content of chunk {name} of revision {revision} does not match its name; read it again"
+    )]
     WrongContent {
-        /// The chunk.
+        /// The chunk's name.
         name: EcoString,
         /// The revision.
         revision: u64,
     },
-    /// A text cannot be read.
-    #[error("revision {revision} cannot be read: {detail}; is a publisher newer than this node?")]
+    /// The head or a chunk is not valid JSON of the expected shape.
+    #[error(
+        "revision {revision} cannot be read: {detail}; update this node if the publisher is newer"
+    )]
     Unreadable {
-        /// The revision.
+        /// The revision; 0 if the head itself cannot be read.
         revision: u64,
-        /// What the parser says.
+        /// The parser's error message.
         detail: EcoString,
     },
-    /// The configuration is not one that a node can run.
-    #[error("revision {revision} is refused: {detail}; publish a corrected one")]
+    /// The configuration breaks a rule that nodes rely on.
+    #[error("revision {revision} is rejected: {detail}; publish a corrected configuration")]
     Refused {
         /// The revision.
         revision: u64,
-        /// What is wrong.
+        /// Which rule it breaks.
         detail: EcoString,
     },
 }
 
 impl AssembleError {
-    /// Whether reading the same revision again cannot help.
+    /// Whether reading the same revision again gives the same error.
     pub fn is_permanent(&self) -> bool {
         matches!(self, Self::Unreadable { .. } | Self::Refused { .. })
     }
 }
 
-/// The key of a chunk.
+/// Returns the store key of a chunk.
 pub fn chunk_key(name: &str) -> EcoString {
     eco_format!("configuration/chunk/{name}")
 }
 
-/// Lays services out in chunks for a revision; a service stays in its chunk while others change.
+/// Splits services into chunks for a revision.
 ///
-/// A chunk whose content stands among the `known` names keeps that name.
+/// A service is assigned to a chunk by the hash of its name, so it stays in its chunk while other
+/// services change. The number of chunks is a power of two that depends on the total size.
+/// A chunk whose content hash is in one of the `known` names keeps that name.
 pub fn chunk_services(
     services: &IndexMap<EcoString, ServiceSpec>,
     revision: u64,
     known: &IndexSet<EcoString>,
 ) -> Vec<Chunk> {
-    let total: usize = services.values().map(|service| to_json(service).len()).sum();
-    let count = (total / TARGET_CHUNK_BYTES + 1).next_power_of_two();
+    let total_bytes: usize = services.values().map(|service| to_json(service).len()).sum();
+    let count = (total_bytes / TARGET_CHUNK_BYTES + 1).next_power_of_two();
     let mut buckets: Vec<Vec<&ServiceSpec>> = vec![Vec::new(); count];
     for (name, service) in services {
         buckets[xxh3_64(name.as_bytes()) as usize % count].push(service);
@@ -97,23 +105,23 @@
     for bucket in &mut buckets {
         bucket.sort_unstable_by(|a, b| a.service.cmp(&b.service));
     }
-    let filled = buckets.iter().filter(|bucket| !bucket.is_empty());
-    let name_text = |text: EcoString| {
+    let non_empty = buckets.iter().filter(|bucket| !bucket.is_empty());
+    let to_chunk = |text: EcoString| {
         let hash = hash_text(&text);
-        let known = known.iter().find(|name| hash_from_name(name) == hash);
-        let name = known.cloned().unwrap_or_else(|| eco_format!("{revision}-{hash}"));
+        let known_name = known.iter().find(|name| hash_from_name(name) == hash);
+        let name = known_name.cloned().unwrap_or_else(|| eco_format!("{revision}-{hash}"));
         Chunk { name, text }
     };
-    filled.map(|bucket| name_text(to_json(bucket))).collect()
+    non_empty.map(|bucket| to_chunk(to_json(bucket))).collect()
 }
 
-/// Reads the head's text.
+/// Parses the text of a configuration head.
 pub fn parse_head(text: &str) -> Result<ConfigurationHead, AssembleError> {
     serde_json::from_str(text)
         .map_err(|error| AssembleError::Unreadable { revision: 0, detail: eco_format!("{error}") })
 }
 
-/// Puts a configuration together and checks that a node can run it.
+/// Assembles a configuration from its head and the texts of its chunks by name, and checks it.
 pub fn assemble_configuration(
     head: &ConfigurationHead,
     chunks: &IndexMap<EcoString, EcoString>,
@@ -127,10 +135,10 @@
         if hash_text(text) != hash_from_name(name) {
             return Err(AssembleError::WrongContent { name: name.clone(), revision });
         }
-        let part: Vec<ServiceSpec> = serde_json::from_str(text).map_err(|error| {
+        let specs: Vec<ServiceSpec> = serde_json::from_str(text).map_err(|error| {
             AssembleError::Unreadable { revision, detail: eco_format!("{error}") }
         })?;
-        services.extend(part.into_iter().map(|service| (service.service.clone(), service)));
+        services.extend(specs.into_iter().map(|service| (service.service.clone(), service)));
     }
     let configuration = Configuration { revision, services, domains_out: head.domains_out.clone() };
     check_configuration(&configuration)
@@ -138,17 +146,17 @@
     Ok(configuration)
 }
 
-/// The hash in a chunk's name.
+/// Returns the hash in a chunk's name, or an empty text if the name has none.
 fn hash_from_name(name: &str) -> &str {
     name.split_once('-').map_or("", |(_, hash)| hash)
 }
 
-/// The hash of a chunk's text.
+/// Returns the hash of a chunk's text, in hexadecimal.
 fn hash_text(text: &str) -> EcoString {
     eco_format!("{:032x}", xxh3_128(text.as_bytes()))
 }
 
-/// Writes a value as JSON.
+/// Serializes a value as JSON.
 pub(crate) fn to_json<T: serde::Serialize + ?Sized>(value: &T) -> EcoString {
     let text = serde_json::to_string(value).expect("configuration types always serialize");
     text.into()
--- a/crates/sassafrasproxy-config/src/diagnostic.rs
+++ b/crates/sassafrasproxy-config/src/diagnostic.rs
@@ -1,4 +1,4 @@
-//! What is wrong with a file, where, and how to mend it.
+//! Diagnostics for settings and service files: what is wrong, where, and how to fix it.
 
 use std::path::Path;
 
@@ -7,22 +7,22 @@
 use serde_saphyr::Location;
 use thiserror::Error;
 
-/// One thing that is wrong with a file.
+/// A problem in a file.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 #[error("{file}:{line}: {message}\n  hint: {hint}")]
 pub struct Diagnostic {
-    /// The file as it was named.
+    /// The path of the file, as the user gave it or as it was found.
     pub file: EcoString,
-    /// The line, from 1; 0 when the whole file is meant.
+    /// The line, counted from 1; 0 if the problem has no line.
     pub line: u64,
-    /// What is wrong, with the field's name.
+    /// What is wrong; names the field or quotes its line.
     pub message: EcoString,
-    /// How to mend it.
+    /// How to fix it.
     pub hint: EcoString,
 }
 
 impl Diagnostic {
-    /// A problem at a place of a file.
+    /// Creates a diagnostic for a location in a file.
     pub(crate) fn at_location(
         file: &str,
         at: Location,
@@ -32,7 +32,7 @@
         Self { file: file.into(), line: at.line(), message: message.into(), hint: hint.into() }
     }
 
-    /// A problem with a file as a whole.
+    /// Creates a diagnostic for a file as a whole.
     pub(crate) fn for_file(
         file: &str,
         message: impl Into<EcoString>,
@@ -46,11 +46,11 @@
 pub(crate) fn read_text(path: &Path) -> Result<String, Diagnostic> {
     std::fs::read_to_string(path).map_err(|error| {
         let file = path.display().to_string();
-        Diagnostic::for_file(&file, error.to_string(), "name a file that can be read")
+        Diagnostic::for_file(&file, error.to_string(), "give the path of a readable file")
     })
 }
 
-/// Reads YAML, with the parser's own words for what is wrong with it.
+/// Parses YAML; the diagnostic holds the parser's message and the line that it refers to.
 pub(crate) fn read_yaml<T: DeserializeOwned>(
     file: &str,
     text: &str,
@@ -58,7 +58,7 @@
 ) -> Result<T, Diagnostic> {
     serde_saphyr::from_str(text).map_err(|error| {
         let line = error.location().map_or(0, |at| at.line());
-        // The parser does not name the field, but its line does.
+        // The parser's message may lack the field's name, so the source line is quoted with it.
         let source = text.lines().nth((line as usize).wrapping_sub(1)).unwrap_or("").trim();
         let message = eco_format!("{} in `{source}`", error.without_snippet());
         Diagnostic { file: file.into(), line, message, hint: hint.into() }
--- a/crates/sassafrasproxy-config/src/gateway_settings.rs
+++ b/crates/sassafrasproxy-config/src/gateway_settings.rs
@@ -10,10 +10,10 @@
 use crate::Diagnostic;
 use crate::diagnostic::{read_text, read_yaml};
 
-/// What to do about a settings file that cannot be read.
+/// The hint for a settings file that cannot be parsed.
 const SETTINGS_HINT: &str = "see docs/OPERATIONS.md for the fields of a gateway's settings";
 
-/// The longest that callers may be told to keep an address list, in milliseconds.
+/// The longest time that callers may be told to keep an address list, in milliseconds.
 const MAX_ADDRESS_KEEP_MS: u64 = 600_000;
 
 /// The checked settings of a gateway.
@@ -23,75 +23,80 @@
     pub name: EcoString,
     /// The failure domain that the node is in.
     pub failure_domain: EcoString,
-    /// Where callers connect, and what the directory tells them.
+    /// The address on which callers connect; the directory tells it to them.
     pub callers_listen: SocketAddr,
-    /// Where the readiness check connects.
+    /// The address of the readiness check.
     pub ready_listen: SocketAddr,
-    /// Where callers ask for addresses.
+    /// The address on which callers ask for the addresses of ingress nodes.
     pub directory_listen: SocketAddr,
-    /// Where peers send heartbeats, over UDP, and read facts, over TCP.
+    /// The address on which peers send gossip datagrams over UDP and read facts over TCP.
     pub peer_listen: SocketAddr,
-    /// Where peers send requests for replicas near this node, over TCP.
+    /// The address on which peers send relay calls for replicas near this node, over TCP.
     pub relay_listen: SocketAddr,
-    /// Where peers are told to connect for that, if they reach this node at another address.
+    /// The address that peers are told for relay calls; `None` if they reach this node at
+    /// `relay_listen`.
     pub relay_advertise: Option<SocketAddr>,
-    /// Where metrics are read, if anywhere.
+    /// The address on which metrics are read; `None` if they are not served.
     pub metrics_listen: Option<SocketAddr>,
     /// The address of the platform's store.
     pub store: SocketAddr,
-    /// Peer addresses to try before any member is known.
+    /// Peer addresses to contact before any member is known.
     pub seeds: Vec<SocketAddr>,
-    /// How much of a core the VM has; callers are sent to the larger ones first.
+    /// The CPU share of the VM, in cores; callers are sent to nodes with a larger share first.
     pub cpu_share: f64,
     /// How long callers may keep an address list, in milliseconds.
     pub address_keep_ms: u64,
-    /// How long a process may take from SIGTERM to its end, in milliseconds.
+    /// The longest time from SIGTERM until the process exits, in milliseconds.
     pub grace_ms: u64,
-    /// What all nodes together may send beyond the first send of each request.
+    /// The limit on what all nodes together send beyond the first attempt of each request.
     pub retry_budget: RetryBudgetSettings,
-    /// How far a cold replica's declared rate may be exceeded.
+    /// The limit on what all nodes together send to a cold replica, relative to its declared rate.
     pub warmup: WarmupSettings,
-    /// What a new version of replicas may get before it is proven; `None` if operators order no
-    /// roll-outs here, and all versions of a service are alike. Taken at the start only.
+    /// The limit on the requests that a new version of replicas gets before it is proven; `None`
+    /// if operators order no rollouts here and all versions of a service are treated alike. Read
+    /// at the start only.
     pub rollouts: Option<RolloutSettings>,
 }
 
-/// What a new version of a service's replicas may get if it is bad, over all nodes.
+/// The maximum number of requests that a bad new version of a service's replicas gets from all
+/// nodes together: a fraction of the requests plus a fixed number.
 #[derive(Debug, Clone, Copy, PartialEq)]
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct RolloutSettings {
-    /// As a fraction of the requests for the service, 0 to 1.
+    /// The fraction of the requests for the service, 0 to 1.
     pub exposure_share: f64,
-    /// And so many requests besides.
+    /// The number of requests in addition to the fraction.
     pub exposure_slack: f64,
 }
 
-/// What all nodes together may send beyond the first send of each request.
+/// The limit on what all nodes together send beyond the first attempt of each request: a fraction
+/// of the requests plus a fixed number.
 #[derive(Debug, Clone, Copy, PartialEq)]
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct RetryBudgetSettings {
-    /// As a fraction of the requests for a service, 0 or more.
+    /// The fraction of the requests for a service, 0 or more.
     pub ratio: f64,
-    /// And so many in each window besides.
+    /// The number of sends in each window in addition to the fraction.
     pub fixed: f64,
-    /// The window, in milliseconds.
+    /// The length of a window, in milliseconds.
     pub window_ms: u64,
 }
 
-/// How far a cold replica's declared rate may be exceeded, over all nodes.
+/// The limit on what all nodes together send to a cold replica: its declared rate times a factor,
+/// plus a fixed rate.
 #[derive(Debug, Clone, Copy, PartialEq)]
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct WarmupSettings {
-    /// By this factor.
+    /// The factor that the declared rate is multiplied by, 0 or more.
     pub factor: f64,
-    /// And by so many requests a second besides.
+    /// The requests per second that are added to the product, 0 or more.
     pub slack: f64,
 }
 
-/// The settings as they stand in the file.
+/// The settings as written in the file, before they are checked.
 #[derive(Debug)]
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
@@ -123,7 +128,7 @@
         Self::parse(&file, &read_text(path)?)
     }
 
-    /// Checks the text of a settings file; `file` is its name in problems.
+    /// Parses and checks the text of a settings file; `file` is its name in diagnostics.
     pub fn parse(file: &str, text: &str) -> Result<Self, Diagnostic> {
         let raw: GatewayFile = read_yaml(file, text, SETTINGS_HINT)?;
         let socket = |field: &str, value: &Spanned<EcoString>| parse_address(file, field, value);
@@ -160,7 +165,7 @@
     }
 }
 
-/// A text that must not be empty.
+/// Returns a text, or a diagnostic if it is blank.
 pub(crate) fn require_non_empty(
     file: &str,
     field: &str,
@@ -168,39 +173,45 @@
 ) -> Result<EcoString, Diagnostic> {
     if value.value.trim().is_empty() {
         let message = format!("`{field}` is empty");
-        return Err(Diagnostic::at_location(file, value.referenced, message, "give it a name"));
+        return Err(Diagnostic::at_location(
+            file,
+            value.referenced,
+            message,
+            "set it to a name that is not blank",
+        ));
     }
     Ok(value.value.clone())
 }
 
-/// An address by IP number.
+/// Parses an IP address with a port; host names are rejected.
 pub(crate) fn parse_address(
     file: &str,
     field: &str,
     value: &Spanned<EcoString>,
 ) -> Result<SocketAddr, Diagnostic> {
     value.value.parse().map_err(|_| {
-        let message = format!("`{field}` is `{}`, which is no address", value.value);
+        let message =
+            format!("`{field}` is `{}`, which is not an IP address with a port", value.value);
         Diagnostic::at_location(
             file,
             value.referenced,
             message,
-            "write IP number and port, as 127.0.0.1:7001",
+            "write an IP address and a port, such as 127.0.0.1:7001",
         )
     })
 }
 
-/// A number within bounds, both included.
+/// Returns a number, or a diagnostic if it is not between `min` and `max`, both included.
 pub(crate) fn require_in_range(
     file: &str,
     field: &str,
     value: &Spanned<u64>,
-    least: u64,
-    most: u64,
+    min: u64,
+    max: u64,
 ) -> Result<u64, Diagnostic> {
-    if value.value < least || value.value > most {
-        let message = format!("`{field}` is {}", value.value);
-        let hint = format!("use {least} to {most}");
+    if value.value < min || value.value > max {
+        let message = format!("`{field}` is {}, which is out of range", value.value);
+        let hint = format!("use a value from {min} to {max}");
         return Err(Diagnostic::at_location(file, value.referenced, message, hint));
     }
     Ok(value.value)
@@ -224,7 +235,7 @@
             file,
             at,
             "`retry_budget.window_ms` is 0",
-            "use 1 or more",
+            "set the window to 1 ms or more",
         ));
     }
     Ok(budget)
@@ -246,8 +257,9 @@
     require_non_negative(file, "rollouts.exposure_share", at, rollouts.exposure_share)?;
     require_non_negative(file, "rollouts.exposure_slack", at, rollouts.exposure_slack)?;
     if rollouts.exposure_share > 1.0 {
-        let message = format!("`rollouts.exposure_share` is {}", rollouts.exposure_share);
-        return Err(Diagnostic::at_location(file, at, message, "use 0 to 1"));
+        let message =
+            format!("`rollouts.exposure_share` is {}, which is above 1", rollouts.exposure_share);
+        return Err(Diagnostic::at_location(file, at, message, "use a fraction from 0 to 1"));
     }
     Ok(rollouts)
 }
@@ -261,5 +273,10 @@
     if value.is_finite() && value >= 0.0 {
         return Ok(());
     }
-    Err(Diagnostic::at_location(file, at, format!("`{field}` is {value}"), "use 0 or more"))
+    Err(Diagnostic::at_location(
+        file,
+        at,
+        format!("`{field}` is {value}, which is negative or not finite"),
+        "use a finite number, 0 or more",
+    ))
 }
--- a/crates/sassafrasproxy-config/src/lib.rs
+++ b/crates/sassafrasproxy-config/src/lib.rs
@@ -1,4 +1,4 @@
-//! Service files, node settings, and the publishing of configurations.
+//! Service files, settings of nodes and gateways, and the publishing of configurations.
 
 mod chunks;
 mod diagnostic;
--- a/crates/sassafrasproxy-config/src/node_settings.rs
+++ b/crates/sassafrasproxy-config/src/node_settings.rs
@@ -11,15 +11,15 @@
 use crate::diagnostic::{read_text, read_yaml};
 use crate::gateway_settings::{parse_address, require_in_range, require_non_empty};
 
-/// How long callers keep an address list when the settings do not say, in milliseconds.
+/// How long callers keep an address list by default, in milliseconds.
 const DEFAULT_ADDRESS_KEEP_MS: u64 = 10_000;
 
-/// The longest that callers may be told to keep an address list, in milliseconds.
+/// The longest time that callers may be told to keep an address list, in milliseconds.
 const MAX_ADDRESS_KEEP_MS: u64 = 600_000;
 
-/// What to do about a settings file that cannot be read.
+/// The hint for a settings file that cannot be parsed.
 const SETTINGS_HINT: &str =
-    "name, failure_domain, listen, peer_listen and platform are needed; see docs/OPERATIONS.md";
+    "name, failure_domain, listen, peer_listen and platform are required; see docs/OPERATIONS.md";
 
 /// The checked settings of one node.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -28,25 +28,25 @@
     pub name: EcoString,
     /// The failure domain that the node is in.
     pub failure_domain: EcoString,
-    /// Where callers and operators connect; port 0 takes any free port.
+    /// The address on which callers and operators connect; port 0 takes any free port.
     pub listen: SocketAddr,
-    /// Where peers connect; port 0 takes any free port.
+    /// The address on which peers connect; port 0 takes any free port.
     pub peer_listen: SocketAddr,
-    /// The address that callers are told; `listen` as bound if absent.
+    /// The address that callers are told; `None` for the address that `listen` is bound to.
     pub advertise: Option<SocketAddr>,
-    /// The address that peers are told; `peer_listen` as bound if absent.
+    /// The address that peers are told; `None` for the address that `peer_listen` is bound to.
     pub peer_advertise: Option<SocketAddr>,
     /// The platform's base URL, without a slash at the end.
     pub platform: EcoString,
-    /// Peer addresses to try besides those in the VM list.
+    /// Peer addresses to contact in addition to those in the VM list.
     pub seeds: Vec<EcoString>,
     /// How long callers may keep an address list, in milliseconds.
     pub address_keep_ms: u64,
-    /// Where metrics go, if anywhere.
+    /// The address that metrics are sent to; `None` if they are not sent.
     pub statsd: Option<SocketAddr>,
 }
 
-/// The settings as they stand in the file.
+/// The settings as written in the file, before they are checked.
 #[derive(Debug)]
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
@@ -71,7 +71,7 @@
         Self::parse(&file, &read_text(path)?)
     }
 
-    /// Checks the text of a settings file; `file` is its name in problems.
+    /// Parses and checks the text of a settings file; `file` is its name in diagnostics.
     pub fn parse(file: &str, text: &str) -> Result<Self, Diagnostic> {
         let raw: SettingsFile = read_yaml(file, text, SETTINGS_HINT)?;
         let seeds: Result<Vec<EcoString>, Diagnostic> = raw
@@ -101,22 +101,25 @@
     ecow::eco_format!("{address}")
 }
 
-/// The platform's base URL.
+/// Checks the platform's base URL and returns it without a slash at the end.
 fn check_base_url(file: &str, value: &Spanned<EcoString>) -> Result<EcoString, Diagnostic> {
     let address = value.value.strip_prefix("http://").map(|rest| rest.trim_end_matches('/'));
     if address.is_none_or(|address| address.parse::<SocketAddr>().is_err()) {
-        let message = format!("`platform` is `{}`, which is no base URL", value.value);
+        let message = format!(
+            "`platform` is `{}`, which is not a base URL with an IP address and a port",
+            value.value
+        );
         return Err(Diagnostic::at_location(
             file,
             value.referenced,
             message,
-            "write http://IP:PORT",
+            "write it as http://IP:PORT",
         ));
     }
     Ok(value.value.trim_end_matches('/').into())
 }
 
-/// How long callers may keep an address list.
+/// Returns how long callers may keep an address list, in milliseconds.
 fn check_address_keep_ms(file: &str, value: Option<&Spanned<u64>>) -> Result<u64, Diagnostic> {
     let Some(value) = value else { return Ok(DEFAULT_ADDRESS_KEEP_MS) };
     require_in_range(file, "address_keep_ms", value, 1, MAX_ADDRESS_KEEP_MS)
--- a/crates/sassafrasproxy-config/src/publisher.rs
+++ b/crates/sassafrasproxy-config/src/publisher.rs
@@ -1,4 +1,7 @@
-//! The steps of publishing a change, whatever the store does.
+//! The state machine that publishes a configuration change.
+//!
+//! It does no I/O: it returns the next step and takes the result of the last one. It copes with
+//! concurrent publishers and with calls to the store whose result is lost.
 
 use std::collections::VecDeque;
 
@@ -9,10 +12,12 @@
 use crate::chunks::to_json;
 use crate::{AssembleError, Chunk, assemble_configuration, chunk_services, parse_head};
 
-/// How often a change of a failure domain is applied anew after losing a race.
+/// The maximum number of times that a change is applied to the configuration in place.
+///
+/// A change of a failure domain is applied again after another publisher has committed first.
 const MAX_PREPARE_ATTEMPTS: u32 = 16;
 
-/// How often a call with an unknown effect is settled by reading before giving up.
+/// The maximum number of failed or unanswered calls before the publisher gives up.
 const MAX_UNKNOWN_RESULTS: u32 = 8;
 
 /// A change that an operator publishes.
@@ -22,120 +27,120 @@
     ReplaceServices {
         /// The services.
         services: IndexMap<EcoString, ServiceSpec>,
-        /// The revision that must be in place, if the operator named one.
+        /// The revision that must be in place, if the operator gives one.
         expected_revision: Option<u64>,
     },
-    /// Takes a failure domain out.
+    /// Takes a failure domain out of service.
     DomainOut(EcoString),
-    /// Takes a failure domain back in.
+    /// Brings a failure domain back.
     DomainIn(EcoString),
 }
 
-/// What differs between two configurations.
+/// A difference between two configurations.
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[derive(serde::Serialize)]
 #[serde(tag = "change", rename_all = "snake_case")]
 pub enum ConfigurationChange {
-    /// A service is new.
+    /// A service is added.
     ServiceAdded {
-        /// The service.
+        /// The service's name.
         service: EcoString,
     },
-    /// A service is gone.
+    /// A service is removed.
     ServiceRemoved {
-        /// The service.
+        /// The service's name.
         service: EcoString,
     },
     /// A service differs.
     ServiceChanged {
-        /// The service.
+        /// The service's name.
         service: EcoString,
-        /// Replicas that are new.
+        /// The number of replicas that are new or changed.
         upstreams_added: usize,
-        /// Replicas that are gone.
+        /// The number of replicas that are removed or changed.
         upstreams_removed: usize,
     },
-    /// A failure domain goes out.
+    /// A failure domain is taken out of service.
     DomainOut {
         /// The failure domain.
         failure_domain: EcoString,
     },
-    /// A failure domain comes back in.
+    /// A failure domain is brought back.
     DomainIn {
         /// The failure domain.
         failure_domain: EcoString,
     },
 }
 
-/// What the publisher does next.
+/// The next step of a publisher, to be executed by its user.
 #[derive(Debug, Clone, PartialEq)]
 pub enum PublishStep {
-    /// Read the head.
+    /// Read the configuration head.
     ReadHead,
     /// Read a chunk.
     ReadChunk {
-        /// Its name.
+        /// The chunk's name.
         name: EcoString,
     },
-    /// Show the operator what changes; then go on with [`PublishEvent::Shown`].
+    /// Show the changes to the operator, then continue with [`PublishEvent::ChangesShown`].
     ShowChanges(Vec<ConfigurationChange>),
-    /// Write a chunk that must not exist; that it does exist is as good.
+    /// Write a chunk unless it exists; an existing chunk counts as written.
     WriteChunk(Chunk),
-    /// Write the head if the store still has the revision named.
+    /// Write the head if the store still has it at the expected revision.
     WriteHead {
-        /// Its text.
+        /// The head's text.
         text: EcoString,
-        /// The store's revision of the head that is replaced; 0 for none.
+        /// The store's revision of the head to replace; 0 if there must be no head.
         expected_store_revision: u64,
     },
-    /// Remove a chunk that no head names any more; best effort.
+    /// Delete a chunk that the new head does not reference; a failure is ignored.
     DeleteChunk {
-        /// Its name.
+        /// The chunk's name.
         name: EcoString,
     },
-    /// Nothing more.
+    /// Stop; publishing has ended with this outcome.
     Finish(PublishOutcome),
 }
 
-/// What came of a step.
+/// The result of a step.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum PublishEvent {
     /// The publisher starts.
     Start,
-    /// The head was read.
+    /// The head was read: its text and the store's revision of it, or `None` if there is no head.
     HeadRead(Option<(EcoString, u64)>),
-    /// A chunk was read.
+    /// A chunk was read; `None` if it does not exist.
     ChunkRead(Option<EcoString>),
-    /// The changes were shown.
+    /// The changes were shown to the operator.
     ChangesShown,
-    /// A write took effect, or a chunk was there already.
+    /// A write took effect, or the chunk exists already.
     Written,
-    /// A write found another revision in place.
+    /// A write had no effect, because the store has another revision of the key.
     Conflict,
-    /// The call failed, or its answer was lost; a write may have taken effect.
+    /// The call failed or its answer was lost; a write may have taken effect.
     Unknown,
 }
 
-/// How publishing ended.
+/// The outcome of publishing.
 #[derive(Debug, Clone, PartialEq)]
 pub enum PublishOutcome {
     /// The change is committed at this revision.
     Done {
-        /// The revision.
+        /// The new revision.
         revision: u64,
     },
-    /// Nothing had to change.
+    /// The configuration in place already has the requested content.
     Unchanged {
         /// The revision in place.
         revision: u64,
     },
-    /// Somebody else published first.
+    /// Another publisher committed first, or the revision in place is not the expected one.
     Conflict {
         /// The revision in place.
         revision: u64,
-        /// Who published it.
+        /// The publisher of that revision.
         published_by: EcoString,
-        /// What it differs in from what this publisher started with.
+        /// How it differs from the configuration that this publisher read first.
         differs: Vec<ConfigurationChange>,
     },
     /// No service declares the failure domain.
@@ -143,28 +148,30 @@
         /// The failure domains that are declared.
         declared: Vec<EcoString>,
     },
-    /// What is in the store cannot be read.
+    /// The configuration in the store cannot be read.
     Unreadable(AssembleError),
-    /// The store stayed away and the change had not been written.
+    /// The store is unavailable; the change was not committed.
     Unavailable,
-    /// The store stayed away after the head was sent; it may be in force.
+    /// The store became unavailable after the head was sent, or another publisher replaced the head
+    /// since; the change may have been committed.
     UnknownOutcome {
-        /// The publishing id, to be looked for in the head.
+        /// The publishing id, which the head carries if the change is in place.
         publish_id: EcoString,
     },
 }
 
-/// A publishing that runs.
+/// The publishing of one change, from reading the head to deleting replaced chunks.
 #[derive(Debug)]
 pub struct Publisher {
     request: PublishRequest,
     publish_id: EcoString,
     published_by: EcoString,
     state: PublisherState,
-    /// What is in place, as read last.
+    /// The head in place, as last read; `None` if there is none.
     base: Option<BaseHead>,
-    /// What was in place when the publisher started.
+    /// The configuration in place when the publisher started.
     initial_configuration: Option<Configuration>,
+    /// The texts of the chunks read so far, by name.
     chunk_texts: IndexMap<EcoString, EcoString>,
     chunks_to_write: VecDeque<Chunk>,
     chunks_to_delete: VecDeque<EcoString>,
@@ -176,14 +183,14 @@
     was_shown: bool,
 }
 
-/// A head with the store's revision of it.
+/// A configuration head with the store's revision of it.
 #[derive(Debug, Clone)]
 struct BaseHead {
     head: ConfigurationHead,
     store_revision: u64,
 }
 
-/// The step that runs.
+/// The step whose result the publisher waits for.
 #[derive(Debug, Clone, PartialEq)]
 enum PublisherState {
     Idle,
@@ -196,7 +203,7 @@
 }
 
 impl Publisher {
-    /// A publishing that has not started; `publish_id` must be unique.
+    /// Creates a publisher that has not started; `publish_id` must be unique.
     pub fn new(request: PublishRequest, publish_id: EcoString, published_by: EcoString) -> Self {
         Self {
             request,
@@ -217,7 +224,7 @@
         }
     }
 
-    /// Takes what came of the last step in and returns the next.
+    /// Handles the result of the last step and returns the next step.
     pub fn step(&mut self, event: PublishEvent) -> PublishStep {
         match (self.state.clone(), event) {
             (PublisherState::Idle, _) => self.read_head(),
@@ -226,7 +233,7 @@
                 self.chunk_texts.insert(name, text);
                 self.read_chunks()
             }
-            // The head was replaced and its chunks removed while this publisher read them.
+            // Another publisher replaced the head and deleted its chunks during the read.
             (PublisherState::ReadingChunk(_), PublishEvent::ChunkRead(None)) => self.retry(),
             (PublisherState::ShowingChanges, _) => self.write_next(),
             (PublisherState::WritingChunk, PublishEvent::Written | PublishEvent::Conflict) => {
@@ -240,7 +247,10 @@
         }
     }
 
-    /// Repeats what is harmless to repeat: reads, and through them the settling of a lost answer.
+    /// Returns the step after a failed or unanswered call, or gives up after too many of them.
+    ///
+    /// Only idempotent steps are repeated: reads and writes of a chunk. A write of the head is not
+    /// repeated; the head is read to find out whether the write took effect.
     fn retry(&mut self) -> PublishStep {
         self.unknown_results += 1;
         if self.unknown_results <= MAX_UNKNOWN_RESULTS {
@@ -263,12 +273,14 @@
         PublishStep::ReadHead
     }
 
-    /// Settles whether an earlier write took effect, and otherwise goes on from what is in place.
+    /// Detects whether an earlier write of the head took effect; if not, continues from the head in
+    /// place.
     ///
-    /// Guards against a lost answer to the write of the head: the head in place carries this
-    /// publisher's id exactly if that write won and nothing followed it. A later publisher
-    /// builds on the head that it read, so a chain of ids is not needed: if this write had won
-    /// and been followed, the head in place has a higher revision than the one this wrote.
+    /// The answer to that write may have been lost. The head in place carries this publisher's id
+    /// if and only if the write took effect and no other publisher has replaced the head since. A
+    /// later publisher builds on the head that it read, so if this write took effect and was
+    /// replaced, the head in place has a higher revision than the one written here. A history of
+    /// publishing ids is therefore not needed.
     fn handle_head(&mut self, head: Option<(EcoString, u64)>) -> PublishStep {
         let base = match head {
             None => None,
@@ -291,12 +303,12 @@
         self.read_chunks()
     }
 
-    /// Whether a head that was sent may have won and been replaced since.
+    /// Whether a head that was sent may have been committed and replaced since.
     fn may_have_been_replaced(&self, base: Option<&BaseHead>) -> bool {
         self.unknown_results > 0 && base.is_some_and(|base| base.head.revision > self.next_revision)
     }
 
-    /// Reads the chunks that are in place, then works the change out.
+    /// Reads the chunks of the head in place that are not read yet, then prepares the change.
     fn read_chunks(&mut self) -> PublishStep {
         let head = self.base.as_ref().map(|base| &base.head);
         let missing = head
@@ -315,10 +327,10 @@
         self.prepare_change(current)
     }
 
-    /// Works out what to write.
+    /// Applies the change to the configuration in place and starts to write the result.
     fn prepare_change(&mut self, current: Configuration) -> PublishStep {
-        if let Some(end) = self.check_conflict(&current) {
-            return PublishStep::Finish(end);
+        if let Some(conflict) = self.check_conflict(&current) {
+            return PublishStep::Finish(conflict);
         }
         self.initial_configuration.get_or_insert_with(|| current.clone());
         let mut wanted = current.clone();
@@ -350,17 +362,18 @@
         PublishStep::ShowChanges(changes)
     }
 
-    /// Whether somebody else's change stands against this one.
+    /// Returns the conflict with another publisher's change, if there is one.
     ///
-    /// Taking a failure domain out or in goes with any other change and is applied anew; whole
-    /// services do not, since the loser's files may lack what the winner published.
+    /// A change of a failure domain is compatible with any other change and is applied again to
+    /// the configuration in place. A replacement of all services is not: the files of the
+    /// publisher that lost the race may lack what the other has committed.
     fn check_conflict(&mut self, current: &Configuration) -> Option<PublishOutcome> {
         let expected = match &self.request {
-            PublishRequest::ReplaceServices { expected_revision: Some(expect), .. } => {
-                Some(*expect)
+            PublishRequest::ReplaceServices { expected_revision: Some(revision), .. } => {
+                Some(*revision)
             }
             PublishRequest::ReplaceServices { expected_revision: None, .. } => {
-                self.initial_configuration.as_ref().map(|one| one.revision)
+                self.initial_configuration.as_ref().map(|first| first.revision)
             }
             PublishRequest::DomainOut(_) | PublishRequest::DomainIn(_) => None,
         };
@@ -379,27 +392,28 @@
         })
     }
 
-    /// Lays out chunks and head.
+    /// Builds the head and the chunks to write, and lists the chunks to delete after the commit.
     fn build_chunks_and_head(&mut self, wanted: &Configuration) {
-        let old: IndexSet<EcoString> =
+        let old_names: IndexSet<EcoString> =
             self.base.iter().flat_map(|base| base.head.chunks.iter().cloned()).collect();
         self.next_revision = wanted.revision + 1;
-        let chunks = chunk_services(&wanted.services, self.next_revision, &old);
-        let new: IndexSet<EcoString> = chunks.iter().map(|chunk| chunk.name.clone()).collect();
-        self.chunks_to_delete = old.difference(&new).cloned().collect();
+        let chunks = chunk_services(&wanted.services, self.next_revision, &old_names);
+        let new_names: IndexSet<EcoString> =
+            chunks.iter().map(|chunk| chunk.name.clone()).collect();
+        self.chunks_to_delete = old_names.difference(&new_names).cloned().collect();
         self.chunks_to_write =
-            chunks.into_iter().filter(|chunk| !old.contains(&chunk.name)).collect();
+            chunks.into_iter().filter(|chunk| !old_names.contains(&chunk.name)).collect();
         let head = ConfigurationHead {
             revision: self.next_revision,
             publish_id: self.publish_id.clone(),
             published_by: self.published_by.clone(),
             domains_out: wanted.domains_out.clone(),
-            chunks: new.into_iter().collect(),
+            chunks: new_names.into_iter().collect(),
         };
         self.head_text = to_json(&head);
     }
 
-    /// Writes the next chunk, or the head after the last.
+    /// Writes the next chunk, or the head if all chunks are written.
     fn write_next(&mut self) -> PublishStep {
         if let Some(chunk) = self.chunks_to_write.front() {
             self.state = PublisherState::WritingChunk;
@@ -407,11 +421,13 @@
         }
         self.state = PublisherState::WritingHead;
         self.was_head_sent = true;
-        let expect = self.base.as_ref().map_or(0, |base| base.store_revision);
-        PublishStep::WriteHead { text: self.head_text.clone(), expected_store_revision: expect }
+        let expected_store_revision = self.base.as_ref().map_or(0, |base| base.store_revision);
+        PublishStep::WriteHead { text: self.head_text.clone(), expected_store_revision }
     }
 
-    /// Removes what the new head does not name; a reader of the old head reads the new one.
+    /// Deletes the chunks that the new head does not reference.
+    ///
+    /// A reader of the old head that no longer finds one of them reads the new head.
     fn handle_commit(&mut self) -> PublishStep {
         self.state = PublisherState::DeletingChunks;
         self.delete_next()
@@ -425,39 +441,39 @@
     }
 }
 
-/// What differs between two configurations.
+/// Returns the differences between two configurations.
 pub fn diff_configurations(old: &Configuration, new: &Configuration) -> Vec<ConfigurationChange> {
     let mut changes = Vec::new();
     for (name, service) in &new.services {
         match old.services.get(name) {
             None => changes.push(ConfigurationChange::ServiceAdded { service: name.clone() }),
-            Some(known) if known != service => changes.push(diff_service(known, service)),
+            Some(old_spec) if old_spec != service => changes.push(diff_service(old_spec, service)),
             Some(_) => {}
         }
     }
     let removed = old.services.keys().filter(|name| !new.services.contains_key(*name));
     changes
         .extend(removed.map(|name| ConfigurationChange::ServiceRemoved { service: name.clone() }));
-    let out = new.domains_out.difference(&old.domains_out);
+    let taken_out = new.domains_out.difference(&old.domains_out);
     changes.extend(
-        out.map(|domain| ConfigurationChange::DomainOut { failure_domain: domain.clone() }),
+        taken_out.map(|domain| ConfigurationChange::DomainOut { failure_domain: domain.clone() }),
     );
-    let back = old.domains_out.difference(&new.domains_out);
+    let brought_back = old.domains_out.difference(&new.domains_out);
     changes.extend(
-        back.map(|domain| ConfigurationChange::DomainIn { failure_domain: domain.clone() }),
+        brought_back.map(|domain| ConfigurationChange::DomainIn { failure_domain: domain.clone() }),
     );
     changes
 }
 
-/// How a service differs.
+/// Returns the change from one specification of a service to another.
 fn diff_service(old: &ServiceSpec, new: &ServiceSpec) -> ConfigurationChange {
-    let only_in = |one: &ServiceSpec, other: &ServiceSpec| {
+    let count_only_in = |one: &ServiceSpec, other: &ServiceSpec| {
         one.upstreams.iter().filter(|upstream| !other.upstreams.contains(upstream)).count()
     };
     ConfigurationChange::ServiceChanged {
         service: new.service.clone(),
-        upstreams_added: only_in(new, old),
-        upstreams_removed: only_in(old, new),
+        upstreams_added: count_only_in(new, old),
+        upstreams_removed: count_only_in(old, new),
     }
 }
 
