--- a/crates/sassafrasproxy-config/tests/gateway_settings.rs
+++ b/crates/sassafrasproxy-config/tests/gateway_settings.rs
@@ -1,4 +1,4 @@
-//! The settings of a gateway, and what is said of wrong ones.
+//! Parsing and checking of a gateway's settings.
 
 #![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 
@@ -30,7 +30,7 @@
     assert_eq!((settings.retry_budget.ratio, settings.warmup.slack), (0.2, 5.0));
 }
 
-/// A node that peers reach at another address than the one on which it listens.
+/// Peers may reach a node at another address than the one that it listens on.
 #[test]
 fn reads_relay_advertise() {
     let text = format!("{VALID_SETTINGS}relay_advertise: 10.1.0.9:7380\n");
@@ -38,7 +38,7 @@
     assert_eq!(settings.relay_advertise, Some("10.1.0.9:7380".parse().unwrap()));
 }
 
-/// Without the section there are no roll-outs, and all versions of a service are alike.
+/// Without the section there are no rollouts, and all versions of a service are treated alike.
 #[test]
 fn rollouts_section_is_optional() {
     let settings = GatewaySettings::parse("gateway.yaml", VALID_SETTINGS).unwrap();
@@ -48,7 +48,7 @@
     assert_eq!((rollouts.exposure_share, rollouts.exposure_slack), (0.1, 50.0));
 }
 
-/// Each wrong file is named with the line and the field, and with what to write instead.
+/// The diagnostic of an invalid file names the line and the field and says what to write instead.
 #[test]
 fn rejects_invalid_settings() {
     let cases = [
@@ -82,12 +82,12 @@
         ("not a number", VALID_SETTINGS.replace("slack: 5", "slack: .nan"), 14, "`warmup.slack`"),
     ];
     for (name, text, line, field) in cases {
-        let problem = GatewaySettings::parse("gateway.yaml", &text).unwrap_err();
-        let said = problem.to_string();
-        assert!(said.contains(field), "{name}: {said}");
-        assert!(said.contains("hint: "), "{name}: {said}");
+        let diagnostic = GatewaySettings::parse("gateway.yaml", &text).unwrap_err();
+        let message = diagnostic.to_string();
+        assert!(message.contains(field), "{name}: {message}");
+        assert!(message.contains("hint: "), "{name}: {message}");
         if line > 0 {
-            assert_eq!(problem.line, line, "{name}: {said}");
+            assert_eq!(diagnostic.line, line, "{name}: {message}");
         }
     }
 }
--- a/crates/sassafrasproxy-config/tests/node_settings.rs
+++ b/crates/sassafrasproxy-config/tests/node_settings.rs
@@ -1,4 +1,4 @@
-//! Node settings and what is said of wrong ones.
+//! Parsing and checking of a node's settings.
 
 #![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 
@@ -21,6 +21,7 @@
     assert_eq!(settings.address_keep_ms, 10_000);
 }
 
+/// The diagnostic of an invalid file names the line and the field and has a hint.
 #[test]
 fn rejects_invalid_settings() {
     let cases = [
@@ -40,11 +41,11 @@
         ("text for number", format!("{VALID_SETTINGS}address_keep_ms: soon\n"), 7, "soon"),
         ("no YAML", "{".to_owned(), 1, ""),
     ];
-    for (name, text, line, named) in cases {
-        let problem = NodeSettings::parse("node.yaml", &text).unwrap_err();
-        assert_eq!(problem.file, "node.yaml", "{name}");
-        assert!(line == 0 || problem.line == line, "{name}: {problem}");
-        assert!(problem.message.contains(named), "{name}: {problem}");
-        assert!(!problem.hint.is_empty(), "{name}");
+    for (name, text, line, expected_text) in cases {
+        let diagnostic = NodeSettings::parse("node.yaml", &text).unwrap_err();
+        assert_eq!(diagnostic.file, "node.yaml", "{name}");
+        assert!(line == 0 || diagnostic.line == line, "{name}: {diagnostic}");
+        assert!(diagnostic.message.contains(expected_text), "{name}: {diagnostic}");
+        assert!(!diagnostic.hint.is_empty(), "{name}");
     }
 }
--- a/crates/sassafrasproxy-config/tests/publishing.rs
+++ b/crates/sassafrasproxy-config/tests/publishing.rs
@@ -1,7 +1,7 @@
-//! Publishers that race, die and lose the store's answers.
+//! Publishing with concurrent publishers, crashes and lost calls to the store.
 //!
-//! The seed stands in `.cargo/config.toml`; `PROPTEST_RNG_SEED` and `PROPTEST_CASES` in the
-//! environment widen the search.
+//! The seed is set in `.cargo/config.toml`; the environment variables `PROPTEST_RNG_SEED` and
+//! `PROPTEST_CASES` override the seed and the number of cases.
 
 #![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 
@@ -16,17 +16,17 @@
     Configuration, ReplicaLimits, RequestKindSpec, ServiceSpec, UpstreamSpec,
 };
 
-/// What the store does wrong with one call.
+/// The fault of the store in one call.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum StoreFault {
     None,
-    /// The call has no effect, and fails.
+    /// The call does not reach the store.
     RequestLost,
-    /// The call takes effect, and its answer is lost.
+    /// The call takes effect, but its answer is lost.
     ResponseLost,
 }
 
-/// A key-value store with compare-and-swap.
+/// An in-memory key-value store with compare-and-swap.
 #[derive(Debug, Default)]
 struct FakeStore {
     revision: u64,
@@ -49,8 +49,8 @@
             PublishStep::WriteChunk(chunk) => {
                 self.compare_and_swap(chunk_key(&chunk.name), &chunk.text, 0)
             }
-            PublishStep::WriteHead { text, expected_store_revision: expect } => {
-                self.compare_and_swap(HEAD_KEY.into(), text, *expect)
+            PublishStep::WriteHead { text, expected_store_revision } => {
+                self.compare_and_swap(HEAD_KEY.into(), text, *expected_store_revision)
             }
             PublishStep::DeleteChunk { name } => {
                 self.items.swap_remove(&chunk_key(name));
@@ -63,9 +63,14 @@
         if fault == StoreFault::ResponseLost { PublishEvent::Unknown } else { event }
     }
 
-    fn compare_and_swap(&mut self, key: EcoString, text: &EcoString, expect: u64) -> PublishEvent {
-        let place = self.items.get(&key).map_or(0, |(_, revision)| *revision);
-        if place != expect {
+    fn compare_and_swap(
+        &mut self,
+        key: EcoString,
+        text: &EcoString,
+        expected_revision: u64,
+    ) -> PublishEvent {
+        let current_revision = self.items.get(&key).map_or(0, |(_, revision)| *revision);
+        if current_revision != expected_revision {
             return PublishEvent::Conflict;
         }
         self.revision += 1;
@@ -76,7 +81,7 @@
         PublishEvent::Written
     }
 
-    /// The configuration that a node would take now.
+    /// Returns the configuration that a node would read now.
     fn read_configuration(&self) -> Configuration {
         let Some((text, _)) = self.items.get(HEAD_KEY) else { return Configuration::default() };
         let head = parse_head(text).unwrap();
@@ -113,42 +118,43 @@
     PublishRequest::ReplaceServices { services: service_specs(names), expected_revision: None }
 }
 
-/// Publishes with a fault at each call; calls beyond the list meet none.
+/// Publishes a change; `faults` lists the fault of each call, and later calls have none.
 fn publish(
     store: &mut FakeStore,
     id: &str,
-    change: PublishRequest,
+    request: PublishRequest,
     faults: &[StoreFault],
 ) -> PublishOutcome {
-    let mut publish = Publisher::new(change, id.into(), id.into());
-    let mut step = publish.step(PublishEvent::Start);
+    let mut publisher = Publisher::new(request, id.into(), id.into());
+    let mut step = publisher.step(PublishEvent::Start);
     let mut faults = faults.iter().copied().chain(std::iter::repeat(StoreFault::None));
     loop {
-        if let PublishStep::Finish(end) = step {
-            return end;
+        if let PublishStep::Finish(outcome) = step {
+            return outcome;
         }
         let event = store.execute(&step, faults.next().unwrap());
-        step = publish.step(event);
+        step = publisher.step(event);
     }
 }
 
 #[test]
 fn publishes_without_faults() {
     let mut store = FakeStore::default();
-    let end = publish(&mut store, "a", replace_services(&["x", "y"]), &[]);
-    assert_eq!(end, PublishOutcome::Done { revision: 1 });
+    let outcome = publish(&mut store, "a", replace_services(&["x", "y"]), &[]);
+    assert_eq!(outcome, PublishOutcome::Done { revision: 1 });
     assert_eq!(store.read_configuration().services, service_specs(&["x", "y"]));
-    let end = publish(&mut store, "b", replace_services(&["x", "y"]), &[]);
-    assert_eq!(end, PublishOutcome::Unchanged { revision: 1 });
-    let end = publish(&mut store, "c", PublishRequest::DomainOut("galway-2".into()), &[]);
-    assert_eq!(end, PublishOutcome::Done { revision: 2 });
+    let outcome = publish(&mut store, "b", replace_services(&["x", "y"]), &[]);
+    assert_eq!(outcome, PublishOutcome::Unchanged { revision: 1 });
+    let outcome = publish(&mut store, "c", PublishRequest::DomainOut("galway-2".into()), &[]);
+    assert_eq!(outcome, PublishOutcome::Done { revision: 2 });
     assert!(store.read_configuration().domains_out.contains("galway-2"));
-    let end = publish(&mut store, "d", PublishRequest::DomainOut("galway-9".into()), &[]);
-    assert!(matches!(end, PublishOutcome::UnknownDomain { .. }));
+    let outcome = publish(&mut store, "d", PublishRequest::DomainOut("galway-9".into()), &[]);
+    assert!(matches!(outcome, PublishOutcome::UnknownDomain { .. }));
 }
 
-// The store loses the answer of one call after it took effect, or the call itself. An operator
-// who is told "done" or "refused" must be able to rely on it, whichever call it was.
+// Guards against a wrong outcome after a lost call: the store loses one call, or its answer after
+// the call took effect. Whichever call it is, the change must be committed exactly once, and the
+// outcome must say so.
 #[test]
 fn recovers_from_lost_call_at_each_step() {
     for fault in [StoreFault::RequestLost, StoreFault::ResponseLost] {
@@ -157,8 +163,12 @@
             publish(&mut store, "a", replace_services(&["x"]), &[]);
             let mut faults = vec![StoreFault::None; position];
             faults.push(fault);
-            let end = publish(&mut store, "b", replace_services(&["y"]), &faults);
-            assert_eq!(end, PublishOutcome::Done { revision: 2 }, "{fault:?} at call {position}");
+            let outcome = publish(&mut store, "b", replace_services(&["y"]), &faults);
+            assert_eq!(
+                outcome,
+                PublishOutcome::Done { revision: 2 },
+                "{fault:?} at call {position}"
+            );
             assert_eq!(
                 store.committed_heads.len(),
                 2,
@@ -172,13 +182,15 @@
 #[test]
 fn reports_store_unavailable() {
     let mut store = FakeStore::default();
-    let end = publish(&mut store, "a", replace_services(&["x"]), &[StoreFault::RequestLost; 50]);
-    assert_eq!(end, PublishOutcome::Unavailable);
-    // Start, head, show and chunk work; then the head is written and the store stays away.
+    let outcome =
+        publish(&mut store, "a", replace_services(&["x"]), &[StoreFault::RequestLost; 50]);
+    assert_eq!(outcome, PublishOutcome::Unavailable);
+    // The calls up to the write of the chunk succeed; then the head is written, but its answer and
+    // all later answers are lost.
     let mut faults = vec![StoreFault::None; 3];
     faults.extend([StoreFault::ResponseLost; 50]);
-    let end = publish(&mut store, "a", replace_services(&["x"]), &faults);
-    assert!(matches!(end, PublishOutcome::UnknownOutcome { .. }), "{end:?}");
+    let outcome = publish(&mut store, "a", replace_services(&["x"]), &faults);
+    assert!(matches!(outcome, PublishOutcome::UnknownOutcome { .. }), "{outcome:?}");
     assert_eq!(store.read_configuration().revision, 1, "it did take effect");
 }
 
@@ -186,23 +198,25 @@
 fn rejects_stale_expected_revision() {
     let mut store = FakeStore::default();
     publish(&mut store, "a", replace_services(&["x"]), &[]);
-    let change = PublishRequest::ReplaceServices {
+    let request = PublishRequest::ReplaceServices {
         services: service_specs(&["y"]),
         expected_revision: Some(0),
     };
-    let end = publish(&mut store, "b", change, &[]);
-    let PublishOutcome::Conflict { revision, published_by, .. } = end else { panic!("{end:?}") };
+    let outcome = publish(&mut store, "b", request, &[]);
+    let PublishOutcome::Conflict { revision, published_by, .. } = outcome else {
+        panic!("{outcome:?}")
+    };
     assert_eq!((revision, published_by.as_str()), (1, "a"));
 }
 
-/// One publisher of a race.
+/// One of several concurrent publishers.
 struct ConcurrentPublisher {
-    publish: Publisher,
+    publisher: Publisher,
     step: PublishStep,
     has_crashed: bool,
 }
 
-/// What one turn of a race does.
+/// One step of a race: which publisher executes its next step, and what goes wrong.
 #[derive(Debug, Clone, Copy)]
 struct RaceStep {
     publisher_index: usize,
@@ -216,57 +230,56 @@
         1 => Just(StoreFault::RequestLost),
         1 => Just(StoreFault::ResponseLost),
     ];
-    (0..4_usize, fault, prop::bool::weighted(0.02)).prop_map(|(racer, fault, is_killed)| RaceStep {
-        publisher_index: racer,
-        fault,
-        is_crash: is_killed,
-    })
+    (0..4_usize, fault, prop::bool::weighted(0.02)).prop_map(
+        |(publisher_index, fault, is_crash)| RaceStep { publisher_index, fault, is_crash },
+    )
 }
 
-// Four operators publish at once: two replace the services, two move a failure domain. Answers
-// are lost and publishers die at any step. Whoever is told "done" must find the change in the
-// history exactly once; every head's chunks must be there; nothing accepted may be undone by
-// another's change of something else.
+// Guards against lost, repeated and undone changes when publishers race. Four operators publish
+// concurrently: two replace the services, two take a failure domain out of service. Calls and
+// answers are lost, and publishers crash at any step. A change that is reported as done must be
+// committed exactly once, the chunks of every head must exist, and no publisher may undo another's
+// committed change of a failure domain.
 proptest! {
     #[test]
-    fn concurrent_publishers(turns in prop::collection::vec(any_race_step(), 0..120)) {
+    fn concurrent_publishers(race_steps in prop::collection::vec(any_race_step(), 0..120)) {
         let mut store = FakeStore::default();
         publish(&mut store, "first", replace_services(&["x", "y"]), &[]);
-        let changes = [
+        let requests = [
             replace_services(&["x", "z"]),
             replace_services(&["x"]),
             PublishRequest::DomainOut("galway-1".into()),
             PublishRequest::DomainOut("galway-2".into()),
         ];
-        let mut racers: Vec<ConcurrentPublisher> = changes
+        let mut publishers: Vec<ConcurrentPublisher> = requests
             .into_iter()
             .enumerate()
-            .map(|(number, change)| {
+            .map(|(number, request)| {
                 let id = eco_format!("racer-{number}");
-                let mut publish = Publisher::new(change, id.clone(), id);
-                let step = publish.step(PublishEvent::Start);
-                ConcurrentPublisher { publish, step, has_crashed: false }
+                let mut publisher = Publisher::new(request, id.clone(), id);
+                let step = publisher.step(PublishEvent::Start);
+                ConcurrentPublisher { publisher, step, has_crashed: false }
             })
             .collect();
-        for turn in &turns {
-            let racer = &mut racers[turn.publisher_index];
-            racer.has_crashed |= turn.is_crash;
-            if racer.has_crashed || matches!(racer.step, PublishStep::Finish(_)) {
+        for race_step in &race_steps {
+            let current = &mut publishers[race_step.publisher_index];
+            current.has_crashed |= race_step.is_crash;
+            if current.has_crashed || matches!(current.step, PublishStep::Finish(_)) {
                 continue;
             }
-            let event = store.execute(&racer.step, turn.fault);
-            racer.step = racer.publish.step(event);
+            let event = store.execute(&current.step, race_step.fault);
+            current.step = current.publisher.step(event);
             store.read_configuration();
         }
         let heads: Vec<_> = store.committed_heads.iter().map(|text| parse_head(text).unwrap()).collect();
         for (index, head) in heads.iter().enumerate() {
             prop_assert_eq!(head.revision, index as u64 + 1, "revisions go up by one");
         }
-        for (number, racer) in racers.iter().enumerate() {
+        for (number, publisher) in publishers.iter().enumerate() {
             let id = eco_format!("racer-{number}");
             let commits: Vec<_> = heads.iter().filter(|head| head.publish_id == id).collect();
             prop_assert!(commits.len() <= 1, "committed twice");
-            match &racer.step {
+            match &publisher.step {
                 PublishStep::Finish(PublishOutcome::Done { revision }) => {
                     prop_assert_eq!(commits[0].revision, *revision);
                 }
@@ -275,7 +288,10 @@
                 _ => {}
             }
         }
-        let out: Vec<_> = heads.iter().map(|head| head.domains_out.len()).collect();
-        prop_assert!(out.is_sorted(), "an accepted move of a failure domain is never undone");
+        let out_counts: Vec<_> = heads.iter().map(|head| head.domains_out.len()).collect();
+        prop_assert!(
+            out_counts.is_sorted(),
+            "a committed change of a failure domain is never undone"
+        );
     }
 }
--- a/crates/sassafrasproxy-config/tests/service_files.rs
+++ b/crates/sassafrasproxy-config/tests/service_files.rs
@@ -1,4 +1,4 @@
-//! Service files and what is said of wrong ones.
+//! Reading and checking of service files.
 
 #![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 
@@ -21,7 +21,7 @@
   reorder: { idempotent: false }
 ";
 
-/// Writes files and reads the services below their directory.
+/// Writes files to a temporary directory and reads the services in it.
 fn read_service_files(files: &[(&str, &str)]) -> Result<Vec<String>, Vec<Diagnostic>> {
     let dir = TempDir::new().unwrap();
     for (name, text) in files {
@@ -45,6 +45,7 @@
     assert_eq!(read_service_files(&files).unwrap(), ["art-archive", "counter-desk"]);
 }
 
+/// The diagnostic of an invalid file names the line and the wrong value and has a hint.
 #[test]
 fn rejects_invalid_service_file() {
     let cases = [
@@ -101,14 +102,14 @@
         ("kind twice", VALID_SERVICE_FILE.replace("reorder:", "search:"), 11, "search"),
         ("no YAML", "service: [".to_owned(), 1, ""),
     ];
-    for (name, text, line, named) in cases {
-        let problems = read_service_files(&[("art.sassafras.yaml", &text)]).unwrap_err();
-        assert_eq!(problems.len(), 1, "{name}: {problems:?}");
-        let problem = &problems[0];
-        assert!(problem.file.ends_with("art.sassafras.yaml"), "{name}");
-        assert!(line == 0 || problem.line == line, "{name}: {problem}");
-        assert!(problem.message.contains(named), "{name}: {problem}");
-        assert!(!problem.hint.is_empty(), "{name}");
+    for (name, text, line, expected_text) in cases {
+        let diagnostics = read_service_files(&[("art.sassafras.yaml", &text)]).unwrap_err();
+        assert_eq!(diagnostics.len(), 1, "{name}: {diagnostics:?}");
+        let diagnostic = &diagnostics[0];
+        assert!(diagnostic.file.ends_with("art.sassafras.yaml"), "{name}");
+        assert!(line == 0 || diagnostic.line == line, "{name}: {diagnostic}");
+        assert!(diagnostic.message.contains(expected_text), "{name}: {diagnostic}");
+        assert!(!diagnostic.hint.is_empty(), "{name}");
     }
 }
 
@@ -117,14 +118,14 @@
     let other_address = VALID_SERVICE_FILE.replace("127.0.1", "127.0.2");
     let files =
         [("a.sassafras.yaml", VALID_SERVICE_FILE), ("b.sassafras.yaml", other_address.as_str())];
-    let problems = read_service_files(&files).unwrap_err();
-    assert!(problems[0].message.contains("also declared in"), "{}", problems[0]);
+    let diagnostics = read_service_files(&files).unwrap_err();
+    assert!(diagnostics[0].message.contains("also declared in"), "{}", diagnostics[0]);
 
     let other_name = VALID_SERVICE_FILE.replace("art-archive", "counter-desk");
     let files =
         [("a.sassafras.yaml", VALID_SERVICE_FILE), ("b.sassafras.yaml", other_name.as_str())];
-    let problems = read_service_files(&files).unwrap_err();
-    assert_eq!(problems.len(), 2, "both addresses");
+    let diagnostics = read_service_files(&files).unwrap_err();
+    assert_eq!(diagnostics.len(), 2, "both addresses");
 }
 
 #[test]
