--- a/crates/sassafrasproxy-wire/src/caller.rs
+++ b/crates/sassafrasproxy-wire/src/caller.rs
@@ -1,4 +1,4 @@
-//! What callers send to a node and what they get back.
+//! Messages between callers and nodes: queries, address lists and status.
 
 use std::fmt::{self, Display, Formatter};
 
@@ -7,9 +7,9 @@
 
 use crate::{Body, ShardId, SnapshotId};
 
-/// The header with the request id.
+/// The request header with the caller's request id.
 pub const REQUEST_ID_HEADER: &str = "x-request-id";
-/// The header with the time that remains, in milliseconds.
+/// The request header with the time that remains until the deadline, in milliseconds.
 pub const DEADLINE_HEADER: &str = "x-deadline-ms";
 
 /// The body of `POST /v1/query`.
@@ -17,13 +17,13 @@
 #[derive(Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct QueryRequest {
-    /// The services to ask; all of one index and at least one.
+    /// The services to query; at least one, and all of the same index.
     pub services: Vec<EcoString>,
     /// The kind of request, as the service files declare it.
     pub kind: EcoString,
-    /// The opaque body that every shard gets.
+    /// The opaque body that is sent to every shard.
     pub body: Body,
-    /// The least fraction of shards, 0 to 1, that makes a useful answer.
+    /// The minimum fraction of shards that a useful answer covers, 0 to 1.
     #[serde(default)]
     pub min_coverage: f64,
 }
@@ -33,13 +33,13 @@
 #[derive(Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Outcome {
-    /// The request was answered; the coverage says how far.
+    /// The request was answered; the coverage tells for which shards.
     Answered,
     /// The request ran on no upstream.
     NotRun,
-    /// The request may have run.
+    /// The request may have run on an upstream.
     Unknown,
-    /// The answer covers less than the caller asked for.
+    /// The answer covers fewer shards than the caller requires.
     Partial,
 }
 
@@ -49,9 +49,9 @@
 pub struct Coverage {
     /// The shards whose results are in the answer.
     pub covered: Vec<ShardId>,
-    /// The shards of the snapshot's layout that are not, with a reason each.
+    /// The shards of the snapshot's layout whose results are missing, each with a reason.
     pub missing: Vec<MissingShard>,
-    /// Covered shards over all shards, 0 to 1.
+    /// The fraction of all shards that are covered, 0 to 1.
     pub fraction: f64,
 }
 
@@ -59,9 +59,9 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct MissingShard {
-    /// The shard.
+    /// The shard's id.
     pub shard: ShardId,
-    /// Why it is missing.
+    /// Why the shard is missing.
     pub reason: FailureReason,
 }
 
@@ -69,7 +69,7 @@
 #[derive(Debug, Clone)]
 #[derive(Serialize, Deserialize)]
 pub struct ShardResult {
-    /// The shard.
+    /// The shard's id.
     pub shard: ShardId,
     /// The upstream's answer, unchanged.
     pub body: Body,
@@ -79,15 +79,15 @@
 #[derive(Debug, Clone)]
 #[derive(Serialize, Deserialize)]
 pub struct QueryAnswer {
-    /// The request that this answers.
+    /// The id of the request that this answers.
     pub request_id: EcoString,
     /// Always [`Outcome::Answered`].
     pub outcome: Outcome,
-    /// The index that was asked.
+    /// The index that was queried.
     pub index: EcoString,
-    /// The one snapshot that every result comes from.
+    /// The snapshot that all results come from.
     pub snapshot: SnapshotId,
-    /// What the answer covers.
+    /// Which shards the answer covers.
     pub coverage: Coverage,
     /// One result for each covered shard.
     pub results: Vec<ShardResult>,
@@ -97,18 +97,18 @@
 #[derive(Debug, Clone, PartialEq)]
 #[derive(Serialize, Deserialize)]
 pub struct Refusal {
-    /// The request that this answers.
+    /// The id of the request that this answers.
     pub request_id: EcoString,
     /// Never [`Outcome::Answered`].
     pub outcome: Outcome,
-    /// The reason, for programs.
+    /// The reason in machine-readable form.
     pub reason: FailureReason,
-    /// The reason, for people, with what to do.
+    /// The reason as text for people, with what to do about it.
     pub detail: EcoString,
-    /// When to come back, in milliseconds, for a refusal that may pass.
+    /// The retry delay in milliseconds; absent if a retry does not help.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub retry_after_ms: Option<u64>,
-    /// What a partial answer would have covered.
+    /// Which shards a partial answer would have covered.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub coverage: Option<Coverage>,
 }
@@ -120,53 +120,53 @@
 pub enum FailureReason {
     /// The request could not be read.
     BadRequest,
-    /// The body is larger than the node reads.
+    /// The body is larger than the node accepts.
     BodyTooLarge,
     /// A service is not in the configuration.
     UnknownService,
-    /// The kind is not declared by every service asked.
+    /// Not every service that is queried declares the kind.
     UnknownKind,
-    /// The services belong to several indexes.
+    /// The services do not all belong to the same index.
     SeveralIndexes,
-    /// A non-idempotent request came without a request id.
+    /// A non-idempotent request has no request id.
     MissingRequestId,
-    /// The request id is in use by another request that is running.
+    /// Another request with the same id is still running.
     DuplicateRequestId,
-    /// The request key was used before with another body.
+    /// The request key was used before by a request with another fingerprint.
     KeyReused,
-    /// The request key was used before and its outcome is not known.
+    /// The request key was used before, and the outcome of that request is unknown.
     KeyUsed,
-    /// The request's claim could not be written, so it was not run.
+    /// The claim on the request key could not be written, so the request was not run.
     ClaimUnavailable,
-    /// No configuration is in force yet.
+    /// The node has no active configuration yet.
     NoConfiguration,
-    /// No replica that may be used holds the shard.
+    /// No usable replica holds the shard.
     NoReplica,
     /// No replica holds the snapshot.
     NotHeld,
-    /// The queue is full or the work could not end in time.
+    /// The queue is full, or the request cannot complete before its deadline.
     Overloaded,
-    /// Every try was shed by the upstream.
+    /// The upstreams shed every attempt.
     Shed,
-    /// The time ran out.
+    /// The deadline has passed.
     DeadlineExceeded,
-    /// The request is quarantined because upstreams died under it.
+    /// The request is quarantined because upstreams crashed while they ran it.
     Quarantined,
-    /// No connection to the upstream could be made.
+    /// No connection to the upstream could be established.
     ConnectFailed,
     /// The connection to the upstream was lost.
     ConnectionLost,
     /// The upstream's answer belongs to another request, shard or snapshot.
     Mismatched,
-    /// The upstream's answer could not be read.
+    /// The upstream's answer could not be parsed.
     Malformed,
-    /// The upstream answered with a failure.
+    /// The upstream answered with an error.
     UpstreamFailed,
     /// No home node of the shard could be reached.
     HomeUnreachable,
-    /// The caller went away.
+    /// The caller disconnected.
     CallerGone,
-    /// The answer covers less than was asked.
+    /// The answer covers fewer shards than the caller requires.
     BelowMinCoverage,
 }
 
@@ -180,19 +180,19 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct AddressList {
-    /// Entry addresses in the order to try them.
+    /// The addresses of ingress nodes, in the order to try them.
     pub addresses: Vec<IngressAddress>,
-    /// How long the list may be kept, in milliseconds.
+    /// How long callers may keep the list, in milliseconds.
     pub keep_ms: u64,
 }
 
-/// One address that callers may use.
+/// The address of one ingress node.
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct IngressAddress {
-    /// `ip:port`.
+    /// The address, as `ip:port`.
     pub address: EcoString,
-    /// Where the node is.
+    /// The failure domain of the node.
     pub failure_domain: EcoString,
 }
 
@@ -200,24 +200,24 @@
 #[derive(Debug, Clone)]
 #[derive(Serialize, Deserialize)]
 pub struct NodeStatus {
-    /// The node that answers.
+    /// The name of the node that answers.
     pub node: EcoString,
-    /// Its failure domain.
+    /// The node's failure domain.
     pub failure_domain: EcoString,
-    /// Whether it is shutting down.
+    /// Whether the node is shutting down.
     pub leaving: bool,
-    /// The revision in force, 0 for none.
+    /// The revision of the active configuration; 0 if there is none.
     pub revision: u64,
-    /// A newer revision that this node could not take, with the reason.
+    /// A newer revision that this node rejected, with the reason.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub rejected_revision: Option<EcoString>,
-    /// Failure domains that are out.
+    /// The failure domains that are out of service.
     pub domains_out: Vec<EcoString>,
     /// All members, this node included.
     pub members: Vec<MemberStatus>,
-    /// Each replica group and its home.
+    /// All replica groups with their homes.
     pub homes: Vec<GroupStatus>,
-    /// Replicas of the groups that this node is the home of.
+    /// The replicas of the groups that this node is the home of.
     pub replicas: Vec<ReplicaStatus>,
 }
 
@@ -227,13 +227,13 @@
 pub struct MemberStatus {
     /// The member's name.
     pub node: EcoString,
-    /// The address that callers use.
+    /// The address that callers connect to.
     pub address: EcoString,
-    /// Where it is.
+    /// The member's failure domain.
     pub failure_domain: EcoString,
     /// `alive`, `suspect`, `leaving` or `dead`.
     pub state: EcoString,
-    /// The configuration revision it last reported.
+    /// The configuration revision that the member last reported.
     pub revision: u64,
 }
 
@@ -241,11 +241,11 @@
 #[derive(Debug, Clone)]
 #[derive(Serialize, Deserialize)]
 pub struct GroupStatus {
-    /// The group.
+    /// The name of the group.
     pub group: EcoString,
-    /// Its home, if any node may be.
+    /// The home of the group; `None` if no node can be its home.
     pub home: Option<EcoString>,
-    /// Snapshots that the group serves.
+    /// The snapshots that the group serves.
     pub snapshots: Vec<SnapshotId>,
 }
 
@@ -253,16 +253,16 @@
 #[derive(Debug, Clone)]
 #[derive(Serialize, Deserialize)]
 pub struct ReplicaStatus {
-    /// The replica's group.
+    /// The replica group that the replica belongs to.
     pub group: EcoString,
     /// The replica's address.
     pub address: EcoString,
-    /// The phase that the home sees it in.
+    /// The replica's phase, as its home sees it.
     pub phase: EcoString,
-    /// How many sub-requests it may have in flight now.
+    /// The current limit on the replica's sub-requests in flight.
     pub limit: u32,
-    /// How many it has.
+    /// The number of sub-requests that it has in flight.
     pub in_flight: u32,
-    /// Sub-requests of the group that wait.
+    /// The number of queued sub-requests of the whole group.
     pub queued: u32,
 }
--- a/crates/sassafrasproxy-wire/src/claim.rs
+++ b/crates/sassafrasproxy-wire/src/claim.rs
@@ -1,85 +1,85 @@
-//! Claims on the keys of non-idempotent requests.
+//! Claims on the keys of non-idempotent requests, and the log that stores them.
 
 use ecow::EcoString;
 use serde::{Deserialize, Serialize};
 
-/// Asks a bucket's home to claim a request key.
+/// A request to the home of a bucket of keys to claim a request key.
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct ClaimRequest {
     /// The caller's request id.
     pub key: EcoString,
-    /// Unique for each try of an entry node to claim.
+    /// A token that is unique for each attempt of an ingress node to claim the key.
     pub token: EcoString,
-    /// A hash of services, kind and body.
+    /// The hash of the request's services, kind and body.
     pub fingerprint: u64,
 }
 
-/// What became of a claim.
+/// The answer to a claim.
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 #[serde(tag = "claim", rename_all = "snake_case")]
 pub enum ClaimAnswer {
-    /// The key is this token's alone; the request may be run, once.
+    /// The key is claimed for this token only; the request may run once.
     Granted,
-    /// The key was claimed before, for a request of this fingerprint.
+    /// The key was claimed before.
     Held {
-        /// The fingerprint.
+        /// The fingerprint of the request that holds the claim.
         fingerprint: u64,
-        /// What became of the request, if it was recorded.
+        /// How that request ended; `None` if that is not recorded.
         ending: Option<Ending>,
     },
-    /// The store is away; the key may or may not be claimed, but it is not granted.
+    /// The store is unavailable; the claim may have been written, but it is not granted.
     Unavailable,
 }
 
-/// What became of a claimed request.
+/// How a claimed request ended.
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 #[serde(tag = "ending", rename_all = "snake_case")]
 pub enum Ending {
-    /// It was answered with this text.
+    /// The request was answered.
     Answered {
-        /// The answer as the caller got it, unless it was too large to keep.
+        /// The answer as sent to the caller; `None` if it was too large to keep.
         text: Option<EcoString>,
     },
-    /// It may have run.
+    /// The request may have run.
     Unknown,
-    /// It ran nowhere; its key is free again.
+    /// The request did not run; its key is free again.
     NotRun,
 }
 
-/// Records what became of a claimed request.
+/// A request to record how a claimed request ended.
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct RecordEndingRequest {
     /// The caller's request id.
     pub key: EcoString,
-    /// The token that the key was granted to.
+    /// The token that the claim was granted to.
     pub token: EcoString,
-    /// What became of it.
+    /// How the request ended.
     pub ending: Ending,
 }
 
-/// One segment of a bucket's log in the store; written once and never changed.
+/// A segment of a bucket's claim log in the store; it is written once and never changed.
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct ClaimLogSegment {
-    /// Unique for each batch, to recognise it when the store's answer was lost.
+    /// The id of the batch; identifies a segment as written if the store's answer was lost.
     pub batch: EcoString,
-    /// Its records, in order.
+    /// The records of the segment, in order.
     pub records: Vec<ClaimLogRecord>,
 }
 
-/// One record of a bucket's log.
+/// A record of a bucket's claim log.
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 #[serde(tag = "record", rename_all = "snake_case")]
 pub enum ClaimLogRecord {
-    /// A key is claimed, unless an earlier record holds it.
+    /// Claims a key, unless an earlier record holds it.
     Claim(ClaimRequest),
-    /// What became of a claimed request.
+    /// Records how a claimed request ended.
     Ending(RecordEndingRequest),
-    /// The log takes no more claims; the next epoch's goes on.
+    /// Closes the log for further claims; they go to the log of the next epoch.
     Sealed,
 }
--- a/crates/sassafrasproxy-wire/src/ids.rs
+++ b/crates/sassafrasproxy-wire/src/ids.rs
@@ -1,4 +1,4 @@
-//! Names and identifiers that several interfaces share.
+//! Identifiers and other types that several interfaces share.
 
 use std::fmt::{self, Display, Formatter};
 use std::str::FromStr;
@@ -9,16 +9,16 @@
 use serde_json::value::RawValue;
 use thiserror::Error;
 
-/// An opaque JSON body that is passed on as the bytes it came in.
+/// An opaque JSON body that is forwarded byte for byte.
 pub type Body = Arc<RawValue>;
 
-/// The number of an index snapshot; a higher one is newer.
+/// The number of an index snapshot; a higher number is newer.
 pub type SnapshotId = u64;
 
-/// The longest request id in bytes.
+/// The maximum length of a request id, in bytes.
 pub const MAX_REQUEST_ID_BYTES: usize = 128;
 
-/// One shard of one service, written `service/shard`.
+/// The id of one shard of a service, written `service/shard`.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
 #[derive(Serialize, Deserialize)]
 #[serde(try_from = "String", into = "String")]
@@ -30,7 +30,7 @@
 }
 
 impl ShardId {
-    /// Names a shard of a service.
+    /// Creates the id of a shard of a service.
     pub fn new(service: impl Into<EcoString>, shard: impl Into<EcoString>) -> Self {
         Self { service: service.into(), shard: shard.into() }
     }
@@ -70,10 +70,10 @@
     }
 }
 
-/// The error of a text that names no shard.
+/// The error for a text that is not a shard id.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
-#[error("`{text}` names no shard; write it as `service/shard`")]
+#[error("`{text}` is not a shard id; write it as `service/shard`")]
 pub struct ShardIdError {
-    /// The text that was given.
+    /// The invalid text.
     pub text: EcoString,
 }
--- a/crates/sassafrasproxy-wire/src/lib.rs
+++ b/crates/sassafrasproxy-wire/src/lib.rs
@@ -1,4 +1,4 @@
-//! Typed messages of every interface: callers, upstreams, the platform and peers.
+//! Typed messages of all interfaces: callers, upstreams, the platform and peers.
 
 mod caller;
 mod claim;
--- a/crates/sassafrasproxy-wire/src/peer.rs
+++ b/crates/sassafrasproxy-wire/src/peer.rs
@@ -1,4 +1,4 @@
-//! Messages between nodes, carried by JSON-RPC over one connection for each pair.
+//! Messages between nodes, sent as JSON-RPC over one connection for each pair of nodes.
 
 use ecow::EcoString;
 use indexmap::IndexMap;
@@ -8,60 +8,60 @@
 
 /// The method that asks a home to run a sub-request.
 pub const SUB_REQUEST_METHOD: &str = "sub_request";
-/// The method that gives up on a sub-request.
+/// The method that cancels a sub-request.
 pub const CANCEL_METHOD: &str = "cancel";
-/// The method that tells whether a connection still carries anything.
+/// The method that checks whether a connection still works.
 pub const PING_METHOD: &str = "ping";
-/// The method that probes a member.
+/// The method that probes a member with a heartbeat.
 pub const PROBE_METHOD: &str = "probe";
-/// The method that asks a member to probe another.
+/// The method that asks a member to probe another member.
 pub const INDIRECT_PROBE_METHOD: &str = "probe_for";
 /// The method that reads a peer's configuration.
 pub const CONFIGURATION_METHOD: &str = "configuration";
-/// The method that reads the holdings that a peer published.
+/// The method that reads the holdings that a peer has published.
 pub const HOLDINGS_METHOD: &str = "holdings";
-/// The method that sends the holdings that a node published.
+/// The method that sends a node's published holdings to a peer.
 pub const PUSH_HOLDINGS_METHOD: &str = "push_holdings";
 /// The method that hands a replica group's state to its new home.
 pub const HAND_OVER_METHOD: &str = "hand_over";
 /// The method that claims a request key.
 pub const CLAIM_METHOD: &str = "claim";
-/// The method that records what became of a claimed request.
+/// The method that records how a claimed request ended.
 pub const RECORD_ENDING_METHOD: &str = "record";
-/// The method that tells that a request crashes upstreams.
+/// The method that tells a peer that a request crashes upstreams.
 pub const QUARANTINE_METHOD: &str = "quarantine";
 
-/// One shard's part of a query, sent by the entry node to the shard's home.
+/// One shard's part of a query, sent by the ingress node to the shard's home.
 #[derive(Debug, Clone)]
 #[derive(Serialize, Deserialize)]
 pub struct SubRequest {
-    /// Unique over all nodes.
+    /// The id of the sub-request, unique over all nodes.
     pub id: EcoString,
     /// The caller's request id.
     pub request_id: EcoString,
-    /// The shard.
+    /// The shard to query.
     pub shard: ShardId,
     /// The snapshot that the answer must come from.
     pub snapshot: SnapshotId,
     /// The kind of request.
     pub kind: EcoString,
-    /// The time that remains, in milliseconds.
+    /// The time that remains until the deadline, in milliseconds.
     pub deadline_ms: u64,
-    /// Whether the node is asked only because the first in rank failed.
+    /// Whether the receiver is a fallback that is asked because the home failed.
     pub fallback: bool,
-    /// Whether an earlier home passed it on; it is passed on once at most.
+    /// Whether a former home forwarded the sub-request; it is forwarded at most once.
     pub forwarded: bool,
     /// The caller's body, unchanged.
     pub body: Body,
 }
 
-/// Gives up on a sub-request.
+/// A request to cancel a sub-request.
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct CancelRequest {
-    /// The sub-request.
+    /// The id of the sub-request.
     pub id: EcoString,
-    /// Its shard.
+    /// The shard of the sub-request.
     pub shard: ShardId,
 }
 
@@ -69,199 +69,206 @@
 #[derive(Debug, Clone)]
 #[derive(Serialize, Deserialize)]
 pub struct SubRequestReply {
-    /// What came of it.
+    /// The outcome of the sub-request.
     pub outcome: SubRequestOutcome,
-    /// The group's holdings, when the outcome says that the asker's are old.
+    /// The group's current holdings, if the outcome shows that the sender's copy is out of date.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub holdings: Option<GroupHoldings>,
-    /// The upstream's answer, with [`SubOutcome::Answered`] only.
+    /// The upstream's answer; present only with [`SubRequestOutcome::Answered`].
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub body: Option<Body>,
 }
 
-/// What came of a sub-request.
+/// The outcome of a sub-request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum SubRequestOutcome {
-    /// The upstream answered for this request, shard and snapshot.
+    /// The upstream answered for the requested shard and snapshot.
     Answered,
-    /// It ran nowhere.
+    /// The sub-request did not run on any upstream.
     NotRun {
-        /// Why.
+        /// The reason.
         reason: FailureReason,
-        /// When to come back, in milliseconds; 0 when coming back does not help.
+        /// The retry delay in milliseconds; 0 if a retry does not help.
         retry_after_ms: u64,
     },
-    /// It may have run.
+    /// The sub-request may have run.
     Unknown {
-        /// Why.
+        /// The reason.
         reason: FailureReason,
     },
-    /// This node is not the shard's home, or not any more.
+    /// This node is not the shard's home, or no longer.
     NotHome {
-        /// Whether it may have run here before the home moved.
+        /// Whether the sub-request may have run here before the home moved.
         may_have_run: bool,
     },
 }
 
 impl SubRequestOutcome {
-    /// The outcome of a sub-request that may have run elsewhere before: it proves less then.
+    /// Returns the outcome in view of an earlier run of the same sub-request elsewhere.
+    ///
+    /// If it may have run there, [`Self::NotRun`] proves nothing and becomes [`Self::Unknown`].
     pub fn with_prior_run(self, may_have_run: bool) -> Self {
         match self {
             Self::NotRun { reason, .. } if may_have_run => Self::Unknown { reason },
-            Self::NotHome { may_have_run: here } => {
-                Self::NotHome { may_have_run: may_have_run || here }
+            Self::NotHome { may_have_run: may_have_run_here } => {
+                Self::NotHome { may_have_run: may_have_run || may_have_run_here }
             }
             outcome => outcome,
         }
     }
 }
 
-/// What a replica group can serve, as its home saw it last.
+/// The snapshots and shards that a replica group can serve, as its home last saw them.
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct GroupHoldings {
-    /// The replica group.
+    /// The name of the replica group.
     pub group: EcoString,
-    /// The home that made this.
+    /// The home that created this value.
     pub home: EcoString,
-    /// When it made this; of one home's the latest counts.
+    /// The time of creation; the latest value of a home replaces its earlier ones.
     pub made_at: Hlc,
-    /// Snapshots that at least one usable replica holds, oldest first.
+    /// The snapshots that at least one usable replica holds, oldest first.
     pub snapshots: Vec<SnapshotHolding>,
 }
 
-/// What a replica group can serve of one snapshot.
+/// The shards of one snapshot that a replica group can serve.
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct SnapshotHolding {
-    /// The snapshot.
+    /// The id of the snapshot.
     pub id: SnapshotId,
     /// Every shard of the service in this snapshot, sorted.
     pub layout: Vec<EcoString>,
-    /// The group's shards that a usable replica holds, sorted.
+    /// The shards of the group that a usable replica holds, sorted.
     pub servable: Vec<EcoString>,
 }
 
-/// What one node says of itself or another.
+/// A gossip update: what a node knows about itself or another member.
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct MemberUpdate {
     /// The member's name.
     pub node: EcoString,
-    /// The address that peers use.
+    /// The address that peers connect to.
     pub peer_address: EcoString,
-    /// The address that callers use.
+    /// The address that callers connect to.
     pub address: EcoString,
-    /// Where it is.
+    /// The member's failure domain.
     pub failure_domain: EcoString,
-    /// The address where it relays requests to replicas near it; empty where it does not.
+    /// The address on which the member accepts relay calls for replicas near it; empty if it does
+    /// not relay.
     #[serde(default)]
     pub relay_address: EcoString,
-    /// How much of a core it has, in thousandths; 0 where it does not say.
+    /// The member's CPU share, in thousandths of a core; 0 if it is unknown.
     #[serde(default)]
     pub cpu_millis: u32,
     /// The member's state at this incarnation.
     pub state: MemberState,
-    /// Raised only by the member itself, to refute a suspicion or to tell a restart.
+    /// The member's incarnation; only the member itself raises it, to refute a suspicion or to
+    /// announce a restart.
     pub incarnation: u64,
 }
 
-/// The state of a member; of two at one incarnation the later in this list wins.
+/// The state of a member; of two states at the same incarnation, the later in this list wins.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 #[derive(Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum MemberState {
-    /// Answers probes.
+    /// The member answers probes.
     Alive,
-    /// Did not answer the last probes.
+    /// The member did not answer the last probes.
     Suspect,
-    /// Shuts down and takes no new homes.
+    /// The member is shutting down and becomes home of no further groups.
     Leaving,
-    /// Gone.
+    /// The member has stopped or is considered lost.
     Dead,
 }
 
-/// A heartbeat, and its answer.
+/// A heartbeat; the answer to it has the same form.
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct Heartbeat {
-    /// The sender, as it sees itself.
+    /// The sender's own member update.
     pub from: MemberUpdate,
-    /// The configuration revision that the sender has in force.
+    /// The revision of the sender's active configuration.
     pub revision: u64,
-    /// How often the sender has published holdings.
+    /// The number of times that the sender has published holdings.
     pub holdings_version: u64,
-    /// A hash over the sender's members that are not dead, to notice a difference.
+    /// The hash of all members that the sender does not consider dead; shows whether two nodes
+    /// differ.
     pub members_hash: u64,
-    /// Whether the sender has counted other members than its peers for long, and wants more news.
+    /// Whether `members_hash` has differed from the peers' for long, so that the sender asks for
+    /// more updates.
     #[serde(default, skip_serializing_if = "is_false")]
     pub wants_news: bool,
-    /// News on members.
+    /// Updates on members.
     pub updates: Vec<MemberUpdate>,
     /// The sender's hybrid logical clock.
     pub hlc: Hlc,
 }
 
-/// Whether a flag can be left out.
+/// Whether a flag is unset and can be omitted.
 fn is_false(flag: &bool) -> bool {
     !flag
 }
 
-/// Asks a member to probe another on the asker's behalf.
+/// A request to a member to probe another member on behalf of the sender.
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct IndirectProbeRequest {
-    /// The peer address to probe.
+    /// The peer address of the member to probe.
     pub peer_address: EcoString,
-    /// The heartbeat to pass on.
+    /// The heartbeat to forward.
     pub heartbeat: Heartbeat,
 }
 
-/// The holdings of every group that the answering node is the home of.
+/// The holdings of groups that a node is the home of.
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct NodeHoldings {
-    /// The node.
+    /// The name of the node.
     pub node: EcoString,
-    /// Its count of publications, to compare with its heartbeats.
+    /// The number of times that the node has published holdings, as in its heartbeats.
     pub version: u64,
-    /// Whether these are all its groups, or only those of the last publication.
+    /// Whether these are all groups of the node, or only those of its last publication.
     pub is_whole: bool,
-    /// The holdings.
+    /// The holdings of each group.
     pub groups: Vec<GroupHoldings>,
 }
 
-/// Asks a peer for its configuration.
+/// A request for a peer's configuration.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct ConfigurationRequest {
-    /// The names of chunks that the asker has and that need not be sent.
+    /// The names of the chunks that the sender already has; they need not be sent.
     pub have: Vec<EcoString>,
 }
 
-/// A peer's configuration, if it has one.
+/// The answer with a peer's configuration.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct PeerConfiguration {
-    /// Its head.
+    /// The configuration head; `None` if the peer has no configuration.
     pub head: Option<ConfigurationHead>,
-    /// The texts of the chunks that the asker does not have, by name.
+    /// The texts of the chunks that the requesting node does not have, by name.
     pub chunks: IndexMap<EcoString, EcoString>,
 }
 
-/// A replica group's state, given by its old home to its new one.
+/// A replica group's state, sent by its old home to its new home.
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct HandOver {
-    /// The replica group.
+    /// The name of the replica group.
     pub group: EcoString,
-    /// The old home.
+    /// The name of the old home.
     pub from: EcoString,
-    /// 0 when the home moves; then one more each time that a send of the old home has ended.
+    /// 0 for the hand-over at the move of the home; grows by one with each further hand-over, which
+    /// the old home sends when one of its attempts has ended.
     pub sequence: u64,
-    /// Each replica's state.
+    /// The state of each replica.
     pub replicas: Vec<ReplicaHandOver>,
 }
 
@@ -269,24 +276,25 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct ReplicaHandOver {
-    /// The replica.
+    /// The replica's address.
     pub address: EcoString,
-    /// How many sub-requests it may have in flight.
+    /// The limit on sub-requests in flight at the replica.
     pub limit: u32,
-    /// How many the old home still has in flight there.
+    /// The number of sub-requests that the old home still has in flight at the replica.
     pub in_flight: u32,
-    /// When the last of those ends at the latest, in milliseconds from now.
+    /// The time until the last of them ends at the latest, in milliseconds from now.
     pub busy_ms: u64,
-    /// The process life that the limit was learned from.
+    /// The boot id of the upstream process for which the limit was learned; `None` if it is
+    /// unknown.
     pub boot_id: Option<EcoString>,
 }
 
-/// The notice that a request crashes upstreams.
+/// A notice that a request crashes upstreams.
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct QuarantineNotice {
-    /// The fingerprint of kind and body.
+    /// The fingerprint of the request's kind and body.
     pub fingerprint: u64,
-    /// How long the quarantine lasts from now, in milliseconds.
+    /// The remaining time of the quarantine, in milliseconds from now.
     pub ttl_ms: u64,
 }
--- a/crates/sassafrasproxy-wire/src/platform.rs
+++ b/crates/sassafrasproxy-wire/src/platform.rs
@@ -1,18 +1,18 @@
-//! The platform's key-value service and its list of VMs.
+//! Messages of the platform's key-value store and of its VM list.
 
 use ecow::EcoString;
 use serde::{Deserialize, Serialize};
 
-/// The largest value in bytes.
+/// The maximum size of a value in the store, in bytes.
 pub const MAX_KV_VALUE_BYTES: usize = 1_000_000;
 
-/// One key with its value.
+/// A key with its value.
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct KvItem {
     /// The key.
     pub key: EcoString,
-    /// The value; `None` in a watch when the key was deleted.
+    /// The value; `None` in a watch if the key was deleted.
     pub value: Option<EcoString>,
     /// The revision of the key's last change.
     pub revision: u64,
@@ -28,7 +28,7 @@
     pub revision: u64,
 }
 
-/// The answer to a write: the new revision, or at a conflict the one in place.
+/// The answer to a write: the new revision, or after a conflict the current one.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct KvRevision {
@@ -46,41 +46,41 @@
     pub items: Vec<KvItem>,
 }
 
-/// The answer to a watch; empty when the wait ended.
+/// The answer to a watch, which is a long poll; it has no changes if the wait timed out.
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct KvChanges {
-    /// The store's revision, to watch from.
+    /// The store's revision, from which to continue the watch.
     pub revision: u64,
     /// The changes, oldest first.
     pub changes: Vec<KvItem>,
 }
 
-/// The body that makes a lease.
+/// The body of a request for a lease.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct LeaseRequest {
-    /// How long the lease lasts without renewal, in milliseconds.
+    /// The time after which the lease expires unless it is renewed, in milliseconds.
     pub ttl_ms: u64,
 }
 
-/// The answer that names a lease.
+/// The answer with the id of a new lease.
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct LeaseId {
-    /// The lease.
+    /// The lease's id.
     pub id: EcoString,
 }
 
-/// One VM in the platform's list, which lags.
+/// One VM in the platform's list; the list may be out of date.
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct VmEntry {
-    /// `ip:port` of the process there.
+    /// The address of the process on the VM, as `ip:port`.
     pub address: EcoString,
-    /// Where it is.
+    /// The failure domain of the VM.
     pub failure_domain: EcoString,
-    /// Whether it is leaving.
+    /// The state of the VM.
     pub state: VmState,
 }
 
@@ -89,8 +89,8 @@
 #[derive(Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum VmState {
-    /// In use.
+    /// The VM is in use.
     Live,
-    /// About to be taken away.
+    /// The VM is about to be removed.
     Leaving,
 }
--- a/crates/sassafrasproxy-wire/src/relay.rs
+++ b/crates/sassafrasproxy-wire/src/relay.rs
@@ -1,102 +1,105 @@
-//! Messages between an entry node and a relay, which asks replicas of its own failure domain.
+//! Messages between an ingress node and a relay.
+//!
+//! A relay is a node that sends a request to several replicas of its own failure domain on behalf
+//! of the ingress node and merges their answers.
 
 use ecow::EcoString;
 use serde::{Deserialize, Serialize};
 
-/// What an entry sends to a relay.
+/// A message from an ingress node to a relay.
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub enum RelayRequest {
-    /// Ask replicas.
+    /// Sends a request to replicas.
     Call(RelayCall),
-    /// The caller has left: stop.
+    /// Cancels a relay call, because the caller has disconnected.
     Cancel {
-        /// The ask.
+        /// The id of the relay call.
         id: u64,
     },
 }
 
-/// Asks a relay to send one request to several replicas.
+/// A request to a relay to send one caller request to several replicas.
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct RelayCall {
-    /// Unique on its connection.
+    /// The id of the relay call; unique on its connection.
     pub id: u64,
     /// The caller's attempt id.
     pub attempt_id: EcoString,
-    /// The route, for the relay's own latencies.
+    /// The name of the route, for which the relay keeps its own latencies.
     pub route: EcoString,
-    /// The method.
+    /// The HTTP method.
     pub method: EcoString,
-    /// Path and query.
+    /// The path and query of the request.
     pub uri: EcoString,
-    /// The headers that go on.
+    /// The headers to forward.
     pub headers: Vec<(EcoString, Vec<u8>)>,
-    /// The body.
+    /// The request body.
     pub body: Vec<u8>,
-    /// The time that remains, in microseconds.
+    /// The time that remains until the deadline, in microseconds.
     pub remaining_us: u64,
-    /// The hash of what the request asks.
+    /// The fingerprint of the request: a hash of its host, method, path and body.
     pub fingerprint: u64,
-    /// How many of the greatest records the answer needs.
+    /// The number of top records that the answer needs.
     pub top_k: usize,
-    /// The replicas.
+    /// The replicas to send the request to.
     pub parts: Vec<RelayPart>,
 }
 
-/// One replica that a relay asks.
+/// One replica that a relay sends the request to.
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct RelayPart {
-    /// The shard's number in the entry's query.
+    /// The index of the shard in the ingress node's query.
     pub shard_index: usize,
-    /// The replica's id; a relay that does not know it yet does not send.
+    /// The replica's id; if the relay does not know the replica yet, it does not send.
     pub replica_id: EcoString,
 }
 
-/// What a relay answers: some parts of an ask that have ended.
+/// An answer of a relay, with some parts of a relay call that have ended.
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct RelayReply {
-    /// The ask.
+    /// The id of the relay call.
     pub id: u64,
-    /// The parts; each part of an ask comes once.
+    /// The parts that have ended; each part of a relay call is in exactly one reply.
     pub parts: Vec<RelayReplyPart>,
-    /// The greatest records of all answered parts of this reply together.
+    /// The record batch with the top records of all answered parts of this reply.
     pub record_batch: Vec<u8>,
 }
 
-/// How one part ended.
+/// The result of one part of a relay call.
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct RelayReplyPart {
-    /// The shard's number in the entry's query.
+    /// The index of the shard in the ingress node's query.
     pub shard_index: usize,
-    /// How it ended.
+    /// The outcome of the part.
     pub outcome: RelayPartOutcome,
-    /// What the replica said of its load.
+    /// The load that the replica reported, if it did.
     pub reported_load: Option<u32>,
 }
 
-/// How a relay's send ended.
+/// The outcome of a relay's attempt at one replica.
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub enum RelayPartOutcome {
-    /// With an answer.
+    /// The replica answered successfully.
     Answered {
-        /// The replica's signature.
+        /// The stamp with which the replica signed its answer.
         stamp: EcoString,
     },
-    /// With the replica's own failure.
+    /// The replica answered with an error or without a stamp.
     Faulty,
-    /// With the replica's word that it did not run the request.
+    /// The replica answered that it did not run the request.
     NotRun,
-    /// Another replica has the address.
+    /// Another replica listens on the address.
     Misdirected,
-    /// Before anything was sent.
+    /// Nothing was sent to the replica.
     Unsent,
-    /// Without a usable answer.
+    /// The attempt ended without a usable answer.
     Lost,
-    /// Without anything for as long as the send could wait.
+    /// No answer arrived within the time of the attempt.
     TimedOut,
 }
--- a/crates/sassafrasproxy-wire/src/route.rs
+++ b/crates/sassafrasproxy-wire/src/route.rs
@@ -1,4 +1,4 @@
-//! Routes: which service answers an opaque HTTP request, and within which limits.
+//! Routes, which map opaque HTTP requests to services and set limits, and replica entries.
 
 use std::net::SocketAddr;
 
@@ -6,59 +6,59 @@
 use indexmap::IndexMap;
 use serde::{Deserialize, Serialize};
 
-/// One version of everything that operators declare about routes.
+/// One version of all that operators declare about routes.
 #[derive(Debug, Clone, Default, PartialEq)]
 #[derive(Serialize, Deserialize)]
 pub struct RouteConfiguration {
-    /// Grows with each change, in uneven steps; 0 before the first.
+    /// The version; it grows with each change, in steps of any size, and is 0 before the first.
     pub version: u64,
-    /// All routes, in no order.
+    /// All routes, in no particular order.
     pub routes: Vec<Route>,
-    /// The services that routes may name, by name.
+    /// The services that routes may target, by name.
     pub services: IndexMap<EcoString, RoutedService>,
-    /// What callers may send.
+    /// The limits on what callers may send.
     pub caller_limits: CallerLimits,
 }
 
-/// Where requests with one host and path prefix go.
+/// A route: the target and limits for requests with one host and path prefix.
 #[derive(Debug, Clone, PartialEq)]
 #[derive(Serialize, Deserialize)]
 pub struct Route {
     /// The route's name; unique in its configuration.
     pub name: EcoString,
-    /// The `Host` that it is for, without a port.
+    /// The value of the `Host` header that the route matches, without a port.
     pub host: EcoString,
-    /// What the path begins with; begins and ends with a slash.
+    /// The path prefix that the route matches; begins and ends with a slash.
     pub prefix: EcoString,
-    /// Whether a request may run more than once.
+    /// Whether requests are idempotent, so that one may run more than once.
     pub is_idempotent: bool,
-    /// The longest that a caller is kept waiting, in milliseconds.
+    /// The longest time that a caller waits for an answer, in milliseconds.
     pub timeout_ms: u64,
-    /// The time within which an answer is worth most, in milliseconds.
+    /// The latency goal, in milliseconds; an answer within this time is worth most.
     pub goal_ms: u64,
-    /// How many replicas of a service one caller attempt may be sent to; at least 1.
+    /// The maximum number of replicas of a service that one caller attempt is sent to; at least 1.
     pub max_attempts: u32,
-    /// The rank; 0 is the most urgent.
+    /// The priority; 0 is the most urgent.
     pub priority: u32,
-    /// What answers.
+    /// The services that answer.
     pub target: RouteTarget,
 }
 
-/// What answers the requests of a route.
+/// The services that answer the requests of a route.
 #[derive(Debug, Clone, PartialEq)]
 #[derive(Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum RouteTarget {
     /// One replica of a service.
     Service(EcoString),
-    /// One replica of one of several services, shared out by weight; never empty.
+    /// One replica of one of several services, which is chosen by weight; never empty.
     Split(Vec<WeightedService>),
-    /// One replica of each of several services, merged.
+    /// One replica of each of several services; their answers are merged.
     Gather(GatherTarget),
 }
 
 impl RouteTarget {
-    /// Every service that the target names.
+    /// Returns every service that the target names.
     pub fn services(&self) -> Vec<&EcoString> {
         match self {
             Self::Service(service) => vec![service],
@@ -72,54 +72,55 @@
 #[derive(Debug, Clone, PartialEq)]
 #[derive(Serialize, Deserialize)]
 pub struct WeightedService {
-    /// The service.
+    /// The service's name.
     pub service: EcoString,
-    /// Its share, relative to the others'; not negative.
+    /// The weight relative to those of the other services; not negative.
     pub weight: f64,
 }
 
-/// A query that is answered by all shards of an index together.
+/// A gather: a query over all shards of an index.
 #[derive(Debug, Clone, PartialEq)]
 #[derive(Serialize, Deserialize)]
 pub struct GatherTarget {
-    /// One service for each shard; never empty.
+    /// The services, one for each shard; never empty.
     pub services: Vec<EcoString>,
-    /// How many of the greatest records the answer holds.
+    /// The number of top records in the answer.
     pub top_k: usize,
-    /// The least fraction of the shards that an answer covers, 0 to 1.
+    /// The minimum fraction of the shards that an answer covers, 0 to 1.
     pub min_coverage: f64,
 }
 
-/// What operators declare about one service.
+/// The declaration of one service by the operators.
 #[derive(Debug, Clone, PartialEq)]
 #[derive(Serialize, Deserialize)]
 pub struct RoutedService {
     /// The path of a replica's health check.
     pub health_path: EcoString,
-    /// How many connections a replica accepts from all nodes together.
+    /// The maximum number of connections that a replica accepts from all nodes together.
     pub max_connections: u32,
-    /// How long a replica is cold after its start, in milliseconds.
+    /// The time for which a replica is cold after its start, in milliseconds.
     pub warmup_ms: u64,
-    /// The requests a second that a cold replica bears; `None` where no limit is declared.
+    /// The maximum rate of requests that a cold replica can handle, per second; `None` if no limit
+    /// is declared.
     pub warmup_per_s: Option<f64>,
 }
 
-/// What callers may send, and how long they may take.
+/// The limits on the size and time of callers' requests and connections.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct CallerLimits {
-    /// The largest request head, in bytes.
+    /// The maximum size of a request head, in bytes.
     pub header_bytes: usize,
-    /// The largest request body, in bytes.
+    /// The maximum size of a request body, in bytes.
     pub body_bytes: usize,
-    /// How long a request head may take to arrive, in milliseconds.
+    /// The timeout for the arrival of a request head, in milliseconds.
     pub header_timeout_ms: u64,
-    /// How long a connection may be idle, in milliseconds.
+    /// The timeout of an idle connection, in milliseconds.
     pub idle_timeout_ms: u64,
 }
 
 impl Default for CallerLimits {
-    /// Limits for the time before the first configuration: common defaults of HTTP servers.
+    /// Returns the limits until the first configuration arrives: common defaults of HTTP servers.
     fn default() -> Self {
         Self {
             header_bytes: 16_384,
@@ -130,28 +131,29 @@
     }
 }
 
-/// What a replica says of itself in the registry.
+/// A replica's own entry in the registry.
 #[derive(Debug, Clone, PartialEq)]
 #[derive(Serialize, Deserialize)]
 pub struct ReplicaEntry {
-    /// Its id; a replica that starts again may have the same.
+    /// The replica's id; it may be the same after a restart.
     pub id: EcoString,
-    /// When it started, in milliseconds since 1970; tells two lives of one id apart.
+    /// The start time, in milliseconds since 1970; distinguishes restarts with the same id.
     pub born_ms: u64,
-    /// Grows with each entry that one life of the replica writes.
+    /// The number of the entry; grows with each entry that the replica writes between two starts.
     pub sequence: u64,
-    /// The service.
+    /// The name of the replica's service.
     pub service: EcoString,
-    /// The version of its software.
+    /// The version of the replica's software.
     pub version: EcoString,
-    /// Where it listens; another replica may listen there later.
+    /// The address that the replica listens on; another replica may listen there later.
     pub address: SocketAddr,
-    /// Where it is.
+    /// The failure domain of the replica.
     pub failure_domain: EcoString,
-    /// How many requests it runs at once; at least 1.
+    /// The number of requests that the replica runs concurrently; at least 1.
     pub slots: u32,
-    /// Whether it is about to leave and takes no new work.
+    /// Whether the replica is draining: it is about to stop and takes no new requests.
     pub is_draining: bool,
-    /// How much longer it is cold, in milliseconds from when the entry was written.
+    /// The remaining time for which the replica is cold, in milliseconds from the time when the
+    /// entry was written.
     pub cold_for_ms: u64,
 }
--- a/crates/sassafrasproxy-wire/src/service.rs
+++ b/crates/sassafrasproxy-wire/src/service.rs
@@ -4,26 +4,26 @@
 use indexmap::{IndexMap, IndexSet};
 use serde::{Deserialize, Serialize};
 
-/// Everything that is in force at one revision.
+/// The complete configuration at one revision.
 #[derive(Debug, Clone, Default, PartialEq)]
 #[derive(Serialize, Deserialize)]
 pub struct Configuration {
-    /// The revision; a node never goes from a higher to a lower one.
+    /// The revision; a node never changes from a higher to a lower one.
     pub revision: u64,
-    /// Services by name.
+    /// The services by name.
     pub services: IndexMap<EcoString, ServiceSpec>,
-    /// Failure domains that get no new work.
+    /// The failure domains that are out of service and get no new work.
     pub domains_out: IndexSet<EcoString>,
 }
 
 impl Configuration {
-    /// The failure domains that any service declares, in order of first mention.
+    /// Returns the failure domains that any service declares, in the order of first declaration.
     pub fn failure_domains(&self) -> IndexSet<&EcoString> {
         self.services.values().flat_map(|service| &service.failure_domains).collect()
     }
 }
 
-/// One service, as its file declares it.
+/// A service, as its service file declares it.
 #[derive(Debug, Clone, PartialEq)]
 #[derive(Serialize, Deserialize)]
 pub struct ServiceSpec {
@@ -31,15 +31,15 @@
     pub service: EcoString,
     /// The index that its shards are part of.
     pub index: EcoString,
-    /// The failure domains that its replicas live in.
+    /// The failure domains that the service declares for its replicas.
     pub failure_domains: Vec<EcoString>,
-    /// Its replicas; at least one.
+    /// The replicas of the service; at least one.
     pub upstreams: Vec<UpstreamSpec>,
-    /// Limits for each replica.
+    /// The limits of each replica.
     pub limits: ReplicaLimits,
-    /// The deadline of a request that names none, in milliseconds.
+    /// The deadline of a request that gives none, in milliseconds.
     pub deadline_ms: u64,
-    /// The kinds of request by name.
+    /// The kinds of requests by name.
     pub kinds: IndexMap<EcoString, RequestKindSpec>,
 }
 
@@ -47,47 +47,49 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct UpstreamSpec {
-    /// `ip:port`; unique over all services.
+    /// The address, as `ip:port`; unique over all services.
     pub address: EcoString,
-    /// Where it is; one of the service's failure domains.
+    /// The failure domain of the replica; one of those that the service declares.
     pub failure_domain: EcoString,
-    /// The shards it may hold; at least one.
+    /// The shards that the replica may hold; at least one.
     pub shards: Vec<EcoString>,
 }
 
-/// What each replica of a service bears.
+/// The limits of each replica of a service.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct ReplicaLimits {
-    /// Sub-requests in flight; at least 1.
+    /// The maximum number of sub-requests in flight; at least 1.
     pub slots: u32,
-    /// Open connections; at least `slots`.
+    /// The maximum number of open connections; at least `slots`.
     pub connections: u32,
-    /// Sub-requests that may wait at the group's home.
+    /// The maximum number of queued sub-requests at the group's home.
     pub queue: u32,
 }
 
-/// How one kind of request may be repeated.
+/// Whether requests of one kind may be repeated and hedged.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct RequestKindSpec {
-    /// Whether running it twice does no harm.
+    /// Whether running a request twice does no harm.
     pub idempotent: bool,
-    /// Whether a second try may start before the first ends; only with `idempotent`.
+    /// Whether a request may be hedged, with a second attempt before the first has ended; only with
+    /// `idempotent`.
     pub hedge: bool,
 }
 
-/// The one commit point of the configuration, kept in the platform's store.
+/// The head of a configuration: its only commit point in the platform's store.
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct ConfigurationHead {
-    /// The revision; one more than that of the head it replaced.
+    /// The revision; one more than that of the head that it replaced.
     pub revision: u64,
-    /// Unique for each publishing, to recognise it when the store's answer was lost.
+    /// The id of the publishing, unique for each; shows whether a write took effect when the
+    /// store's answer was lost.
     pub publish_id: EcoString,
-    /// Who published it.
+    /// The name of the publisher.
     pub published_by: EcoString,
-    /// Failure domains that get no new work.
+    /// The failure domains that are out of service and get no new work.
     pub domains_out: IndexSet<EcoString>,
     /// The names of the chunks that hold the services, in order.
     pub chunks: Vec<EcoString>,
--- a/crates/sassafrasproxy-wire/src/timeline.rs
+++ b/crates/sassafrasproxy-wire/src/timeline.rs
@@ -1,4 +1,4 @@
-//! Events of the time line that spans all processes.
+//! Events of the timeline that spans all processes.
 
 use std::cmp::max;
 
@@ -7,18 +7,18 @@
 
 use crate::{FailureReason, MemberState, Outcome, ShardId, SnapshotId};
 
-/// A stamp of a hybrid logical clock: wall time that never runs backwards.
+/// A timestamp of a hybrid logical clock, which follows wall time but never goes backwards.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 #[derive(Serialize, Deserialize)]
 pub struct Hlc {
-    /// The wall time in milliseconds since 1970, or a peer's if that was ahead.
+    /// The wall time in milliseconds since 1970; that of a peer if it is ahead.
     pub wall_ms: u64,
-    /// Orders stamps within one millisecond.
+    /// The count that orders timestamps within one millisecond.
     pub count: u32,
 }
 
 impl Hlc {
-    /// The stamp after this one at a wall time.
+    /// Returns the timestamp that follows this one at a wall time.
     pub fn tick(self, wall_ms: u64) -> Self {
         if wall_ms > self.wall_ms {
             return Self { wall_ms, count: 0 };
@@ -26,154 +26,154 @@
         Self { wall_ms: self.wall_ms, count: self.count.saturating_add(1) }
     }
 
-    /// The stamp after this one and after one heard from a peer.
-    pub fn merge(self, heard: Self, wall_ms: u64) -> Self {
-        max(self, heard).tick(wall_ms)
+    /// Returns the timestamp that follows both this one and one received from a peer.
+    pub fn merge(self, received: Self, wall_ms: u64) -> Self {
+        max(self, received).tick(wall_ms)
     }
 }
 
-/// One event of the time line.
+/// An event of the timeline.
 #[derive(Debug, Clone, PartialEq)]
 #[derive(Serialize, Deserialize)]
 pub struct TimelineEvent {
-    /// When, in an order that respects messages between nodes.
+    /// The time of the event; an event that a message caused has a later time than its cause.
     pub hlc: Hlc,
-    /// The node's number for it; grows by one with each of its events.
+    /// The sequence number; grows by one with each event of the node.
     pub sequence: u64,
-    /// The node.
+    /// The name of the node.
     pub node: EcoString,
-    /// Where it is.
+    /// The failure domain of the node.
     pub failure_domain: EcoString,
-    /// The request that it belongs to.
+    /// The id of the request that the event belongs to, if any.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub request_id: Option<EcoString>,
-    /// What happened.
+    /// The kind of event.
     #[serde(flatten)]
     pub kind: TimelineEventKind,
 }
 
-/// What happened.
+/// The kind of a timeline event.
 #[derive(Debug, Clone, PartialEq)]
 #[derive(Serialize, Deserialize)]
 #[serde(tag = "event", rename_all = "snake_case")]
 pub enum TimelineEventKind {
-    /// The node serves.
+    /// The node has started to serve.
     NodeStarted,
-    /// The node began its graceful shutdown.
+    /// The node has begun its graceful shutdown.
     NodeLeaving,
-    /// The node ended its graceful shutdown.
+    /// The node has completed its graceful shutdown.
     NodeStopped,
-    /// A member changed state in this node's view.
+    /// The state of a member has changed in this node's view.
     MemberChanged {
-        /// The member.
+        /// The member's name.
         member: EcoString,
-        /// Its new state.
+        /// The new state.
         state: MemberState,
     },
-    /// A sub-request to a peer got no answer.
+    /// A sub-request to a peer has failed without an answer.
     PeerFailed {
-        /// The peer.
+        /// The peer's name.
         peer: EcoString,
-        /// How it failed.
+        /// The error.
         error: EcoString,
         /// Whether the peer answers over a new connection.
         is_alive: bool,
     },
-    /// A configuration came into force.
+    /// A configuration has become active.
     RevisionInForce {
         /// The revision.
         revision: u64,
-        /// Failure domains that are out.
+        /// The failure domains that are out of service.
         domains_out: Vec<EcoString>,
     },
-    /// A newer configuration could not be taken; the old one stays.
+    /// A newer configuration was rejected; the old one stays active.
     RevisionRejected {
         /// The revision.
         revision: u64,
         /// The reason.
         detail: EcoString,
     },
-    /// This node became the home of a replica group.
+    /// This node has become the home of a replica group.
     HomeGained {
         /// The group.
         group: EcoString,
     },
-    /// This node is the home of a replica group no more.
+    /// This node is no longer the home of a replica group.
     HomeLost {
         /// The group.
         group: EcoString,
-        /// The new home.
+        /// The new home; `None` if there is none.
         to: Option<EcoString>,
     },
-    /// A group's state came from its old home.
+    /// This node has applied a group's state from its old home.
     HandOverTaken {
         /// The group.
         group: EcoString,
         /// The old home.
         from: EcoString,
     },
-    /// A replica's phase changed.
+    /// The phase of a replica has changed.
     ReplicaPhase {
         /// The replica.
         replica: EcoString,
-        /// Its new phase.
+        /// The new phase.
         phase: EcoString,
-        /// What it was noticed by.
+        /// The observation that caused the change.
         sign: EcoString,
     },
-    /// A replica's limit changed.
+    /// The concurrency limit of a replica has changed.
     ReplicaLimit {
         /// The replica.
         replica: EcoString,
-        /// Its new limit in flight.
+        /// The new maximum number of sub-requests in flight.
         limit: u32,
     },
-    /// Connections to a replica were given up because they were silent.
+    /// Connections to a replica were closed because they had stalled.
     ConnectionsCondemned {
         /// The replica.
         replica: EcoString,
     },
-    /// A second try started before the first ended.
+    /// A sub-request was hedged: a second attempt started before the first ended.
     Hedged {
         /// The shard.
         shard: ShardId,
-        /// The replica of the second try.
+        /// The replica of the second attempt.
         replica: EcoString,
     },
-    /// A try is repeated on another replica.
+    /// A sub-request is retried on another replica.
     Retried {
         /// The shard.
         shard: ShardId,
-        /// Why.
+        /// Why the last attempt failed.
         reason: FailureReason,
     },
-    /// An upstream died under a request.
+    /// An upstream crashed while it ran a request.
     RequestSuspected {
-        /// The fingerprint, in hexadecimal.
+        /// The fingerprint of the request, in hexadecimal.
         fingerprint: EcoString,
     },
-    /// A request is refused from now on because upstreams died under it.
+    /// A request is quarantined because upstreams crashed while they ran it.
     RequestQuarantined {
-        /// The fingerprint, in hexadecimal.
+        /// The fingerprint of the request, in hexadecimal.
         fingerprint: EcoString,
     },
-    /// A query starts again on another snapshot.
+    /// A query restarts on another snapshot.
     SnapshotChanged {
-        /// The old one.
+        /// The old snapshot.
         from: SnapshotId,
-        /// The new one.
+        /// The new snapshot.
         to: SnapshotId,
     },
-    /// A query ended.
+    /// A query has ended.
     QueryEnded {
-        /// How.
+        /// The outcome.
         outcome: Outcome,
         /// The reason, unless it was answered in full.
         #[serde(default, skip_serializing_if = "Option::is_none")]
         reason: Option<FailureReason>,
-        /// Covered shards over all shards.
+        /// The fraction of all shards that the answer covers, 0 to 1.
         fraction: f64,
-        /// How long it took, in milliseconds.
+        /// The duration of the query, in milliseconds.
         took_ms: u64,
     },
 }
--- a/crates/sassafrasproxy-wire/src/upstream.rs
+++ b/crates/sassafrasproxy-wire/src/upstream.rs
@@ -1,19 +1,19 @@
-//! What nodes send to upstreams and what they get back.
+//! Messages between nodes and upstreams.
 
 use ecow::EcoString;
 use serde::{Deserialize, Serialize};
 
 use crate::{Body, SnapshotId};
 
-/// The header that pins a snapshot.
+/// The request header with the snapshot that the answer must come from.
 pub const SNAPSHOT_HEADER: &str = "x-snapshot";
-/// The answer header that names the upstream's process life.
+/// The answer header with the upstream's boot id.
 pub const BOOT_ID_HEADER: &str = "x-boot-id";
-/// The answer header with the upstream's requests in flight.
+/// The answer header with the number of requests that the upstream has in flight.
 pub const LOAD_HEADER: &str = "x-load";
-/// The answer header of an upstream that is leaving.
+/// The answer header that is `true` if the upstream is draining.
 pub const DRAINING_HEADER: &str = "x-draining";
-/// The answer header that proves that a request did not run.
+/// The answer header that guarantees that the request did not run.
 pub const NOT_RUN_HEADER: &str = "x-not-run";
 
 /// The body of `POST /query`.
@@ -22,38 +22,38 @@
 pub struct UpstreamQuery {
     /// The kind of request.
     pub kind: EcoString,
-    /// The shard to ask.
+    /// The shard to query.
     pub shard: EcoString,
     /// The caller's body, unchanged.
     pub body: Body,
 }
 
-/// The body of `GET /status`; it may lag or be wrong.
+/// The answer to `GET /status`; it may be out of date or wrong.
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct UpstreamStatus {
-    /// Changes at every start of the upstream.
+    /// The boot id, which changes at every start of the upstream.
     pub boot_id: EcoString,
-    /// What the upstream says of itself.
+    /// The state that the upstream reports.
     pub state: UpstreamState,
-    /// Requests in flight.
+    /// The number of requests in flight.
     pub load: u32,
-    /// Requests it can have in flight.
+    /// The maximum number of requests in flight.
     pub slots: u32,
-    /// Snapshots it holds.
+    /// The snapshots that the upstream holds.
     pub snapshots: Vec<HeldSnapshot>,
 }
 
-/// What an upstream says of itself.
+/// The state that an upstream reports.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum UpstreamState {
-    /// Started, with cold caches.
+    /// The upstream has started, but its caches are cold.
     Cold,
-    /// Serving.
+    /// The upstream serves normally.
     Serving,
-    /// Leaving.
+    /// The upstream is draining before it stops.
     Draining,
 }
 
@@ -61,9 +61,9 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct HeldSnapshot {
-    /// The snapshot.
+    /// The id of the snapshot.
     pub id: SnapshotId,
-    /// The shards of it that this upstream holds.
+    /// The shards of the snapshot that this upstream holds.
     pub shards: Vec<EcoString>,
     /// Every shard of the service in this snapshot.
     pub layout: Vec<EcoString>,
