--- a/crates/sassafrasproxy-config/src/publisher.rs
+++ b/crates/sassafrasproxy-config/src/publisher.rs
@@ -12,7 +12,8 @@
 use crate::chunks::to_json;
 use crate::{AssembleError, Chunk, assemble_configuration, chunk_services, parse_head};
 
-/// The maximum number of times that a change is applied to the configuration in place.
+/// The maximum number of times that a change is applied to the current configuration before a
+/// conflict is reported.
 ///
 /// A change of a failure domain is applied again after another publisher has committed first.
 const MAX_PREPARE_ATTEMPTS: u32 = 16;
@@ -27,7 +28,7 @@
     ReplaceServices {
         /// The services.
         services: IndexMap<EcoString, ServiceSpec>,
-        /// The revision that must be in place, if the operator gives one.
+        /// The revision that the store must have, if the operator gives one.
         expected_revision: Option<u64>,
     },
     /// Takes a failure domain out of service.
@@ -129,14 +130,14 @@
         /// The new revision.
         revision: u64,
     },
-    /// The configuration in place already has the requested content.
+    /// The current configuration already has the requested content.
     Unchanged {
-        /// The revision in place.
+        /// The current revision.
         revision: u64,
     },
-    /// Another publisher committed first, or the revision in place is not the expected one.
+    /// Another publisher committed first, or the current revision is not the expected one.
     Conflict {
-        /// The revision in place.
+        /// The current revision.
         revision: u64,
         /// The publisher of that revision.
         published_by: EcoString,
@@ -155,7 +156,7 @@
     /// The store became unavailable after the head was sent, or another publisher replaced the head
     /// since; the change may have been committed.
     UnknownOutcome {
-        /// The publishing id, which the head carries if the change is in place.
+        /// The publishing id; the current head has it if the change was committed last.
         publish_id: EcoString,
     },
 }
@@ -167,9 +168,9 @@
     publish_id: EcoString,
     published_by: EcoString,
     state: PublisherState,
-    /// The head in place, as last read; `None` if there is none.
+    /// The current head, as last read; `None` if there is none.
     base: Option<BaseHead>,
-    /// The configuration in place when the publisher started.
+    /// The current configuration when the publisher started.
     initial_configuration: Option<Configuration>,
     /// The texts of the chunks read so far, by name.
     chunk_texts: IndexMap<EcoString, EcoString>,
@@ -273,14 +274,14 @@
         PublishStep::ReadHead
     }
 
-    /// Detects whether an earlier write of the head took effect; if not, continues from the head in
-    /// place.
+    /// Detects whether an earlier write of the head took effect; if not, continues from the current
+    /// head.
     ///
-    /// The answer to that write may have been lost. The head in place carries this publisher's id
-    /// if and only if the write took effect and no other publisher has replaced the head since. A
-    /// later publisher builds on the head that it read, so if this write took effect and was
-    /// replaced, the head in place has a higher revision than the one written here. A history of
-    /// publishing ids is therefore not needed.
+    /// The answer to that write may have been lost. The current head has this publisher's id if and
+    /// only if the write took effect and no other publisher has replaced the head since. A later
+    /// publisher builds on the head that it read, so if this write took effect and was replaced,
+    /// the current head has a higher revision than the one written here. A history of publishing
+    /// ids is therefore not needed.
     fn handle_head(&mut self, head: Option<(EcoString, u64)>) -> PublishStep {
         let base = match head {
             None => None,
@@ -308,7 +309,7 @@
         self.unknown_results > 0 && base.is_some_and(|base| base.head.revision > self.next_revision)
     }
 
-    /// Reads the chunks of the head in place that are not read yet, then prepares the change.
+    /// Reads the chunks of the current head that are not read yet, then prepares the change.
     fn read_chunks(&mut self) -> PublishStep {
         let head = self.base.as_ref().map(|base| &base.head);
         let missing = head
@@ -327,7 +328,7 @@
         self.prepare_change(current)
     }
 
-    /// Applies the change to the configuration in place and starts to write the result.
+    /// Applies the change to the current configuration and starts to write the result.
     fn prepare_change(&mut self, current: Configuration) -> PublishStep {
         if let Some(conflict) = self.check_conflict(&current) {
             return PublishStep::Finish(conflict);
@@ -365,7 +366,7 @@
     /// Returns the conflict with another publisher's change, if there is one.
     ///
     /// A change of a failure domain is compatible with any other change and is applied again to
-    /// the configuration in place. A replacement of all services is not: the files of the
+    /// the current configuration. A replacement of all services is not: the files of the
     /// publisher that lost the race may lack what the other has committed.
     fn check_conflict(&mut self, current: &Configuration) -> Option<PublishOutcome> {
         let expected = match &self.request {
--- a/crates/sassafrasproxy-wire/src/caller.rs
+++ b/crates/sassafrasproxy-wire/src/caller.rs
@@ -33,7 +33,7 @@
 #[derive(Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Outcome {
-    /// The request was answered; the coverage tells for which shards.
+    /// The request was answered; the coverage lists the shards.
     Answered,
     /// The request ran on no upstream.
     NotRun,
--- a/crates/sassafrasproxy-wire/src/peer.rs
+++ b/crates/sassafrasproxy-wire/src/peer.rs
@@ -98,7 +98,7 @@
         /// The reason.
         reason: FailureReason,
     },
-    /// This node is not the shard's home, or no longer.
+    /// This node is not, or is no longer, the shard's home.
     NotHome {
         /// Whether the sub-request may have run here before the home moved.
         may_have_run: bool,
@@ -106,9 +106,10 @@
 }
 
 impl SubRequestOutcome {
-    /// Returns the outcome in view of an earlier run of the same sub-request elsewhere.
+    /// Returns the overall outcome of a sub-request that was sent elsewhere before.
     ///
-    /// If it may have run there, [`Self::NotRun`] proves nothing and becomes [`Self::Unknown`].
+    /// `may_have_run` tells whether it may have run there. If so, [`Self::NotRun`] becomes
+    /// [`Self::Unknown`], and [`Self::NotHome`] reports that it may have run.
     pub fn with_prior_run(self, may_have_run: bool) -> Self {
         match self {
             Self::NotRun { reason, .. } if may_have_run => Self::Unknown { reason },
--- a/crates/sassafrasproxy-wire/src/relay.rs
+++ b/crates/sassafrasproxy-wire/src/relay.rs
@@ -63,7 +63,7 @@
 pub struct RelayReply {
     /// The id of the relay call.
     pub id: u64,
-    /// The parts that have ended; each part of a relay call is in exactly one reply.
+    /// The parts that have ended; each part of a relay call is reported once.
     pub parts: Vec<RelayReplyPart>,
     /// The record batch with the top records of all answered parts of this reply.
     pub record_batch: Vec<u8>,
@@ -94,12 +94,12 @@
     Faulty,
     /// The replica answered that it did not run the request.
     NotRun,
-    /// Another replica listens on the address.
+    /// Another replica answered at the address; it did not run the request.
     Misdirected,
     /// Nothing was sent to the replica.
     Unsent,
-    /// The attempt ended without a usable answer.
+    /// The request may have run, but no usable answer arrived.
     Lost,
-    /// No answer arrived within the time of the attempt.
+    /// The request may have run, but no answer arrived before the timeout.
     TimedOut,
 }
