--- a/crates/sassafrasproxy-clock/src/lib.rs
+++ b/crates/sassafrasproxy-clock/src/lib.rs
@@ -4,11 +4,11 @@
 
 use nix::time::{ClockId, clock_gettime};
 
-/// A monotonic clock in microseconds since the node's start.
+/// A monotonic clock that counts microseconds from its creation.
 ///
-/// It includes the time during which the VM is suspended. If the VM is suspended between the claim
-/// of a request and its send, the deadline has passed by this clock on resume, so the stale
-/// request is not sent.
+/// It includes the time during which the VM is suspended. If the VM is suspended past a deadline
+/// between the claim of a request and its send, the clock shows on resume that the deadline has
+/// passed, so the stale request is not sent.
 #[derive(Debug, Clone, Copy)]
 pub struct Clock {
     start_boot_time: Duration,
@@ -20,12 +20,12 @@
         Self { start_boot_time: time_since_boot() }
     }
 
-    /// Returns the time since the start, in microseconds.
+    /// Returns the time since the clock's creation, in microseconds.
     pub fn now_us(&self) -> u64 {
         time_since_boot().saturating_sub(self.start_boot_time).as_micros() as u64
     }
 
-    /// Converts a time of this clock, in microseconds, to an instant for timers.
+    /// Converts a time on this clock, in microseconds, to an instant for timers.
     ///
     /// A time that has passed gives the current instant.
     pub fn instant_at(&self, at_us: u64) -> tokio::time::Instant {
@@ -43,5 +43,5 @@
 /// Returns the time since the VM booted, including suspensions.
 fn time_since_boot() -> Duration {
     let time = clock_gettime(ClockId::CLOCK_BOOTTIME).map(Duration::from);
-    time.expect("the boot time clock is available since Linux 2.6.39")
+    time.expect("CLOCK_BOOTTIME is available in Linux 2.6.39 and later")
 }
--- a/crates/sassafrasproxy-config/src/chunks.rs
+++ b/crates/sassafrasproxy-config/src/chunks.rs
@@ -6,8 +6,8 @@
 //!
 //! A chunk's name consists of the revision that wrote it and the hash of its text. While one
 //! publisher deletes a chunk that it replaced, another may write the same content again. The
-//! revision gives the two chunks different names, so a chunk that a head may still come to
-//! reference is never deleted.
+//! revision gives the two chunks different names, so the deletion does not remove a chunk that the
+//! other publisher's head references.
 
 use ecow::{EcoString, eco_format};
 use indexmap::{IndexMap, IndexSet};
@@ -44,7 +44,7 @@
         /// The revision.
         revision: u64,
     },
-    /// A chunk's text does not match the hash in its name.
+    /// The text of a chunk does not match the hash in the chunk's name.
     #[error(
         "content of chunk {name} of revision {revision} does not match its name; read it again"
     )]
@@ -69,7 +69,7 @@
     Refused {
         /// The revision.
         revision: u64,
-        /// Which rule it breaks.
+        /// The rule that it breaks.
         detail: EcoString,
     },
 }
@@ -90,11 +90,11 @@
 ///
 /// A service is assigned to a chunk by the hash of its name, so it stays in its chunk while other
 /// services change. The number of chunks is a power of two that depends on the total size.
-/// A chunk whose content hash is in one of the `known` names keeps that name.
+/// A chunk whose content hash is part of one of the `existing_names` gets that name.
 pub fn chunk_services(
     services: &IndexMap<EcoString, ServiceSpec>,
     revision: u64,
-    known: &IndexSet<EcoString>,
+    existing_names: &IndexSet<EcoString>,
 ) -> Vec<Chunk> {
     let total_bytes: usize = services.values().map(|service| to_json(service).len()).sum();
     let count = (total_bytes / TARGET_CHUNK_BYTES + 1).next_power_of_two();
@@ -108,20 +108,25 @@
     let non_empty = buckets.iter().filter(|bucket| !bucket.is_empty());
     let to_chunk = |text: EcoString| {
         let hash = hash_text(&text);
-        let known_name = known.iter().find(|name| hash_from_name(name) == hash);
-        let name = known_name.cloned().unwrap_or_else(|| eco_format!("{revision}-{hash}"));
+        let existing_name = existing_names.iter().find(|name| hash_from_name(name) == hash);
+        let name = existing_name.cloned().unwrap_or_else(|| eco_format!("{revision}-{hash}"));
         Chunk { name, text }
     };
     non_empty.map(|bucket| to_chunk(to_json(bucket))).collect()
 }
 
 /// Parses the text of a configuration head.
+///
+/// Returns [`AssembleError::Unreadable`] with revision 0 if the text cannot be parsed.
 pub fn parse_head(text: &str) -> Result<ConfigurationHead, AssembleError> {
     serde_json::from_str(text)
         .map_err(|error| AssembleError::Unreadable { revision: 0, detail: eco_format!("{error}") })
 }
 
 /// Assembles a configuration from its head and the texts of its chunks by name, and checks it.
+///
+/// Returns an error if a chunk is missing, damaged or unreadable, or if the configuration breaks a
+/// rule of [`check_configuration`].
 pub fn assemble_configuration(
     head: &ConfigurationHead,
     chunks: &IndexMap<EcoString, EcoString>,
@@ -146,7 +151,7 @@
     Ok(configuration)
 }
 
-/// Returns the hash in a chunk's name, or an empty text if the name has none.
+/// Returns the hash in a chunk's name, or an empty string if the name has none.
 fn hash_from_name(name: &str) -> &str {
     name.split_once('-').map_or("", |(_, hash)| hash)
 }
--- a/crates/sassafrasproxy-config/src/diagnostic.rs
+++ b/crates/sassafrasproxy-config/src/diagnostic.rs
@@ -15,9 +15,9 @@
     pub file: EcoString,
     /// The line, counted from 1; 0 if the problem has no line.
     pub line: u64,
-    /// What is wrong; names the field or quotes its line.
+    /// The description of the problem; names the field or quotes its line.
     pub message: EcoString,
-    /// How to fix it.
+    /// The suggested fix.
     pub hint: EcoString,
 }
 
@@ -42,7 +42,7 @@
     }
 }
 
-/// Reads a settings file as text.
+/// Reads a settings file as text, or returns a diagnostic if the file cannot be read.
 pub(crate) fn read_text(path: &Path) -> Result<String, Diagnostic> {
     std::fs::read_to_string(path).map_err(|error| {
         let file = path.display().to_string();
--- a/crates/sassafrasproxy-config/src/gateway_settings.rs
+++ b/crates/sassafrasproxy-config/src/gateway_settings.rs
@@ -1,4 +1,4 @@
-//! The settings of a gateway: a node that forwards opaque requests over routes.
+//! The settings of a gateway: a node that forwards opaque requests as its routes define.
 
 use std::net::SocketAddr;
 use std::path::Path;
@@ -13,7 +13,7 @@
 /// The hint for a settings file that cannot be parsed.
 const SETTINGS_HINT: &str = "see docs/OPERATIONS.md for the fields of a gateway's settings";
 
-/// The longest time that callers may be told to keep an address list, in milliseconds.
+/// The maximum of `address_keep_ms`.
 const MAX_ADDRESS_KEEP_MS: u64 = 600_000;
 
 /// The checked settings of a gateway.
@@ -23,7 +23,7 @@
     pub name: EcoString,
     /// The failure domain that the node is in.
     pub failure_domain: EcoString,
-    /// The address on which callers connect; the directory tells it to them.
+    /// The address on which callers connect; the directory returns it to them.
     pub callers_listen: SocketAddr,
     /// The address of the readiness check.
     pub ready_listen: SocketAddr,
@@ -33,28 +33,28 @@
     pub peer_listen: SocketAddr,
     /// The address on which peers send relay calls for replicas near this node, over TCP.
     pub relay_listen: SocketAddr,
-    /// The address that peers are told for relay calls; `None` if they reach this node at
+    /// The address for relay calls that is advertised to peers; `None` if they reach this node at
     /// `relay_listen`.
     pub relay_advertise: Option<SocketAddr>,
-    /// The address on which metrics are read; `None` if they are not served.
+    /// The address on which metrics are served; `None` if they are not served.
     pub metrics_listen: Option<SocketAddr>,
     /// The address of the platform's store.
     pub store: SocketAddr,
     /// Peer addresses to contact before any member is known.
     pub seeds: Vec<SocketAddr>,
-    /// The CPU share of the VM, in cores; callers are sent to nodes with a larger share first.
+    /// The CPU share of the VM, in cores; the directory prefers nodes with a large share.
     pub cpu_share: f64,
-    /// How long callers may keep an address list, in milliseconds.
+    /// The time for which callers may keep an address list, in milliseconds.
     pub address_keep_ms: u64,
     /// The longest time from SIGTERM until the process exits, in milliseconds.
     pub grace_ms: u64,
-    /// The limit on what all nodes together send beyond the first attempt of each request.
+    /// The limit on the attempts of all nodes together beyond the first of each request.
     pub retry_budget: RetryBudgetSettings,
-    /// The limit on what all nodes together send to a cold replica, relative to its declared rate.
+    /// The limit on the request rate of all nodes together to a cold replica.
     pub warmup: WarmupSettings,
-    /// The limit on the requests that a new version of replicas gets before it is proven; `None`
-    /// if operators order no rollouts here and all versions of a service are treated alike. Read
-    /// at the start only.
+    /// The limit on the requests that a bad new version of a service's replicas gets; `None` if
+    /// operators order no rollouts here and all versions of a service are treated alike. Read only
+    /// when the node starts.
     pub rollouts: Option<RolloutSettings>,
 }
 
@@ -70,22 +70,22 @@
     pub exposure_slack: f64,
 }
 
-/// The limit on what all nodes together send beyond the first attempt of each request: a fraction
-/// of the requests plus a fixed number.
+/// The maximum number of attempts (hedges and retries) that all nodes together make beyond the
+/// first of each request: a fraction of the requests plus a fixed number.
 #[derive(Debug, Clone, Copy, PartialEq)]
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct RetryBudgetSettings {
     /// The fraction of the requests for a service, 0 or more.
     pub ratio: f64,
-    /// The number of sends in each window in addition to the fraction.
+    /// The number of attempts in each window in addition to the fraction.
     pub fixed: f64,
     /// The length of a window, in milliseconds.
     pub window_ms: u64,
 }
 
-/// The limit on what all nodes together send to a cold replica: its declared rate times a factor,
-/// plus a fixed rate.
+/// The maximum rate of requests that all nodes together send to a cold replica: its declared rate
+/// times a factor, plus a fixed rate.
 #[derive(Debug, Clone, Copy, PartialEq)]
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
@@ -123,31 +123,35 @@
 
 impl GatewaySettings {
     /// Reads and checks a settings file.
+    ///
+    /// Returns a diagnostic if the file cannot be read or a setting is missing, unknown or invalid.
     pub fn load(path: &Path) -> Result<Self, Diagnostic> {
         let file = path.display().to_string();
         Self::parse(&file, &read_text(path)?)
     }
 
     /// Parses and checks the text of a settings file; `file` is its name in diagnostics.
+    ///
+    /// Returns a diagnostic if a setting is missing, unknown or invalid.
     pub fn parse(file: &str, text: &str) -> Result<Self, Diagnostic> {
         let raw: GatewayFile = read_yaml(file, text, SETTINGS_HINT)?;
-        let socket = |field: &str, value: &Spanned<EcoString>| parse_address(file, field, value);
+        let address = |field: &str, value: &Spanned<EcoString>| parse_address(file, field, value);
         let seeds: Result<Vec<SocketAddr>, Diagnostic> =
-            raw.seeds.iter().map(|seed| socket("seeds", seed)).collect();
-        let optional = |field: &str, value: &Option<Spanned<EcoString>>| {
-            value.as_ref().map(|at| socket(field, at)).transpose()
+            raw.seeds.iter().map(|seed| address("seeds", seed)).collect();
+        let optional_address = |field: &str, value: &Option<Spanned<EcoString>>| {
+            value.as_ref().map(|value| address(field, value)).transpose()
         };
         Ok(Self {
             name: require_non_empty(file, "name", &raw.name)?,
             failure_domain: require_non_empty(file, "failure_domain", &raw.failure_domain)?,
-            callers_listen: socket("callers_listen", &raw.callers_listen)?,
-            ready_listen: socket("ready_listen", &raw.ready_listen)?,
-            directory_listen: socket("directory_listen", &raw.directory_listen)?,
-            peer_listen: socket("peer_listen", &raw.peer_listen)?,
-            relay_listen: socket("relay_listen", &raw.relay_listen)?,
-            relay_advertise: optional("relay_advertise", &raw.relay_advertise)?,
-            metrics_listen: optional("metrics_listen", &raw.metrics_listen)?,
-            store: socket("store", &raw.store)?,
+            callers_listen: address("callers_listen", &raw.callers_listen)?,
+            ready_listen: address("ready_listen", &raw.ready_listen)?,
+            directory_listen: address("directory_listen", &raw.directory_listen)?,
+            peer_listen: address("peer_listen", &raw.peer_listen)?,
+            relay_listen: address("relay_listen", &raw.relay_listen)?,
+            relay_advertise: optional_address("relay_advertise", &raw.relay_advertise)?,
+            metrics_listen: optional_address("metrics_listen", &raw.metrics_listen)?,
+            store: address("store", &raw.store)?,
             seeds: seeds?,
             cpu_share: check_cpu_share(file, &raw.cpu_share)?,
             address_keep_ms: require_in_range(
--- a/crates/sassafrasproxy-config/src/node_settings.rs
+++ b/crates/sassafrasproxy-config/src/node_settings.rs
@@ -11,10 +11,10 @@
 use crate::diagnostic::{read_text, read_yaml};
 use crate::gateway_settings::{parse_address, require_in_range, require_non_empty};
 
-/// How long callers keep an address list by default, in milliseconds.
+/// The default of `address_keep_ms`.
 const DEFAULT_ADDRESS_KEEP_MS: u64 = 10_000;
 
-/// The longest time that callers may be told to keep an address list, in milliseconds.
+/// The maximum of `address_keep_ms`.
 const MAX_ADDRESS_KEEP_MS: u64 = 600_000;
 
 /// The hint for a settings file that cannot be parsed.
@@ -32,15 +32,16 @@
     pub listen: SocketAddr,
     /// The address on which peers connect; port 0 takes any free port.
     pub peer_listen: SocketAddr,
-    /// The address that callers are told; `None` for the address that `listen` is bound to.
+    /// The address that is advertised to callers; `None` for the address that `listen` is bound to.
     pub advertise: Option<SocketAddr>,
-    /// The address that peers are told; `None` for the address that `peer_listen` is bound to.
+    /// The address that is advertised to peers; `None` for the address that `peer_listen` is bound
+    /// to.
     pub peer_advertise: Option<SocketAddr>,
     /// The platform's base URL, without a slash at the end.
     pub platform: EcoString,
     /// Peer addresses to contact in addition to those in the VM list.
     pub seeds: Vec<EcoString>,
-    /// How long callers may keep an address list, in milliseconds.
+    /// The time for which callers may keep an address list, in milliseconds.
     pub address_keep_ms: u64,
     /// The address that metrics are sent to; `None` if they are not sent.
     pub statsd: Option<SocketAddr>,
@@ -66,12 +67,16 @@
 
 impl NodeSettings {
     /// Reads and checks a settings file.
+    ///
+    /// Returns a diagnostic if the file cannot be read or a setting is missing, unknown or invalid.
     pub fn load(path: &Path) -> Result<Self, Diagnostic> {
         let file = path.display().to_string();
         Self::parse(&file, &read_text(path)?)
     }
 
     /// Parses and checks the text of a settings file; `file` is its name in diagnostics.
+    ///
+    /// Returns a diagnostic if a setting is missing, unknown or invalid.
     pub fn parse(file: &str, text: &str) -> Result<Self, Diagnostic> {
         let raw: SettingsFile = read_yaml(file, text, SETTINGS_HINT)?;
         let seeds: Result<Vec<EcoString>, Diagnostic> = raw
@@ -79,7 +84,7 @@
             .iter()
             .map(|seed| parse_address(file, "seeds", seed).map(format_address))
             .collect();
-        let optional = |field: &str, value: &Option<Spanned<EcoString>>| {
+        let optional_address = |field: &str, value: &Option<Spanned<EcoString>>| {
             value.as_ref().map(|value| parse_address(file, field, value)).transpose()
         };
         Ok(Self {
@@ -87,12 +92,12 @@
             failure_domain: require_non_empty(file, "failure_domain", &raw.failure_domain)?,
             listen: parse_address(file, "listen", &raw.listen)?,
             peer_listen: parse_address(file, "peer_listen", &raw.peer_listen)?,
-            advertise: optional("advertise", &raw.advertise)?,
-            peer_advertise: optional("peer_advertise", &raw.peer_advertise)?,
+            advertise: optional_address("advertise", &raw.advertise)?,
+            peer_advertise: optional_address("peer_advertise", &raw.peer_advertise)?,
             platform: check_base_url(file, &raw.platform)?,
             seeds: seeds?,
             address_keep_ms: check_address_keep_ms(file, raw.address_keep_ms.as_ref())?,
-            statsd: optional("statsd", &raw.statsd)?,
+            statsd: optional_address("statsd", &raw.statsd)?,
         })
     }
 }
@@ -119,7 +124,7 @@
     Ok(value.value.trim_end_matches('/').into())
 }
 
-/// Returns how long callers may keep an address list, in milliseconds.
+/// Returns the checked value of `address_keep_ms`, or the default if it is not set.
 fn check_address_keep_ms(file: &str, value: Option<&Spanned<u64>>) -> Result<u64, Diagnostic> {
     let Some(value) = value else { return Ok(DEFAULT_ADDRESS_KEEP_MS) };
     require_in_range(file, "address_keep_ms", value, 1, MAX_ADDRESS_KEEP_MS)
--- a/crates/sassafrasproxy-config/src/publisher.rs
+++ b/crates/sassafrasproxy-config/src/publisher.rs
@@ -1,7 +1,7 @@
 //! The state machine that publishes a configuration change.
 //!
-//! It does no I/O: it returns the next step and takes the result of the last one. It copes with
-//! concurrent publishers and with calls to the store whose result is lost.
+//! It does no I/O: it returns the next step, and its user executes the step and passes the result
+//! back. It handles concurrent publishers and calls to the store whose result is lost.
 
 use std::collections::VecDeque;
 
@@ -15,7 +15,7 @@
 /// The maximum number of times that a change is applied to the current configuration before a
 /// conflict is reported.
 ///
-/// A change of a failure domain is applied again after another publisher has committed first.
+/// A change of a failure domain is applied again whenever another publisher has committed first.
 const MAX_PREPARE_ATTEMPTS: u32 = 16;
 
 /// The maximum number of failed or unanswered calls before the publisher gives up.
@@ -141,7 +141,7 @@
         revision: u64,
         /// The publisher of that revision.
         published_by: EcoString,
-        /// How it differs from the configuration that this publisher read first.
+        /// The differences of that revision from the configuration that this publisher read first.
         differs: Vec<ConfigurationChange>,
     },
     /// No service declares the failure domain.
@@ -156,12 +156,13 @@
     /// The store became unavailable after the head was sent, or another publisher replaced the head
     /// since; the change may have been committed.
     UnknownOutcome {
-        /// The publishing id; the current head has it if the change was committed last.
+        /// The id of the publish operation; the current head has it if the change was committed and
+        /// no other publisher has replaced the head since.
         publish_id: EcoString,
     },
 }
 
-/// The publishing of one change, from reading the head to deleting replaced chunks.
+/// A state machine that publishes one change, from reading the head to deleting replaced chunks.
 #[derive(Debug)]
 pub struct Publisher {
     request: PublishRequest,
@@ -248,10 +249,10 @@
         }
     }
 
-    /// Returns the step after a failed or unanswered call, or gives up after too many of them.
+    /// Returns the step after a failed or unanswered call, or ends after too many of them.
     ///
-    /// Only idempotent steps are repeated: reads and writes of a chunk. A write of the head is not
-    /// repeated; the head is read to find out whether the write took effect.
+    /// A write of a chunk is idempotent and is repeated. After any other call, the head is read
+    /// again; if the call was a write of the head, this shows whether the write took effect.
     fn retry(&mut self) -> PublishStep {
         self.unknown_results += 1;
         if self.unknown_results <= MAX_UNKNOWN_RESULTS {
@@ -280,8 +281,8 @@
     /// The answer to that write may have been lost. The current head has this publisher's id if and
     /// only if the write took effect and no other publisher has replaced the head since. A later
     /// publisher builds on the head that it read, so if this write took effect and was replaced,
-    /// the current head has a higher revision than the one written here. A history of publishing
-    /// ids is therefore not needed.
+    /// the current head has a higher revision than the one written here. A history of publish ids
+    /// is therefore not needed.
     fn handle_head(&mut self, head: Option<(EcoString, u64)>) -> PublishStep {
         let base = match head {
             None => None,
@@ -485,7 +486,7 @@
             Self::ServiceRemoved { service } => eco_format!("- service {service}"),
             Self::ServiceChanged { service, upstreams_added, upstreams_removed } => eco_format!(
                 "~ service {service} (replicas: {upstreams_added} new or changed, \
-                 {upstreams_removed} gone or changed)"
+                 {upstreams_removed} removed or changed)"
             ),
             Self::DomainOut { failure_domain } => eco_format!("- failure domain {failure_domain}"),
             Self::DomainIn { failure_domain } => eco_format!("+ failure domain {failure_domain}"),
--- a/crates/sassafrasproxy-config/src/service_file.rs
+++ b/crates/sassafrasproxy-config/src/service_file.rs
@@ -77,7 +77,8 @@
 
 /// Reads and checks every service file in directories and their subdirectories.
 ///
-/// Returns the services by name, in the order of their files' paths, or all diagnostics.
+/// Returns the services by name, in the order of their files' paths. Returns the diagnostics of
+/// all files if a directory or file cannot be read, a file is invalid, or there is no file.
 pub fn read_services(
     dirs: &[PathBuf],
 ) -> Result<IndexMap<EcoString, ServiceSpec>, Vec<Diagnostic>> {
@@ -104,7 +105,7 @@
 
 /// Checks the rules that a node relies on, whichever tool published the configuration.
 ///
-/// Returns a description of the first rule that is broken.
+/// Returns a description of the first broken rule as the error.
 pub fn check_configuration(configuration: &Configuration) -> Result<(), EcoString> {
     let mut addresses = IndexSet::new();
     for service in configuration.services.values() {
@@ -135,10 +136,13 @@
     Ok(())
 }
 
-/// Adds the service files in a directory and its subdirectories to `files`.
+/// Adds the service files in a directory and in up to `remaining_depth` levels of subdirectories to
+/// `files`.
+///
+/// Returns a diagnostic if a directory cannot be read.
 fn find_service_files(
     dir: &Path,
-    depth: usize,
+    remaining_depth: usize,
     files: &mut Vec<PathBuf>,
 ) -> Result<(), Diagnostic> {
     let to_diagnostic = |error: std::io::Error| {
@@ -147,8 +151,8 @@
     };
     for entry in std::fs::read_dir(dir).map_err(to_diagnostic)? {
         let path = entry.map_err(to_diagnostic)?.path();
-        if path.is_dir() && depth > 0 {
-            find_service_files(&path, depth - 1, files)?;
+        if path.is_dir() && remaining_depth > 0 {
+            find_service_files(&path, remaining_depth - 1, files)?;
         } else if path.to_string_lossy().ends_with(SERVICE_FILE_SUFFIX) {
             files.push(path);
         }
@@ -213,7 +217,7 @@
             if is_invalid {
                 let message =
                     format!("`{field}` is `{}`, which is blank or has a slash", value.value);
-                let hint = "use a name without a slash";
+                let hint = "use a name that is not blank and has no slash";
                 self.diagnostics.push(Diagnostic::at_location(
                     file,
                     value.referenced,
@@ -303,7 +307,7 @@
         }
         if let Some(other_file) = self.file_by_address.get(&address.value) {
             let message = format!("upstream `{}` is also listed in {other_file}", address.value);
-            let hint = "list each replica once; one scheduler must own its slots";
+            let hint = "list each replica once, because a single scheduler must own its slots";
             self.diagnostics.push(Diagnostic::at_location(file, address.referenced, message, hint));
         }
         self.file_by_address.insert(address.value.clone(), file.into());
--- a/crates/sassafrasproxy-config/tests/gateway_settings.rs
+++ b/crates/sassafrasproxy-config/tests/gateway_settings.rs
@@ -64,7 +64,7 @@
         ("relay", format!("{VALID_SETTINGS}relay_advertise: there\n"), 15, "`relay_advertise`"),
         ("no port", VALID_SETTINGS.replace("127.0.0.1:8102", "127.0.0.1"), 8, "`store`"),
         ("bad seed", VALID_SETTINGS.replace("127.0.0.2:8106", "peer"), 9, "`seeds`"),
-        ("no core", VALID_SETTINGS.replace("0.25", "-1"), 10, "`cpu_share`"),
+        ("negative share", VALID_SETTINGS.replace("0.25", "-1"), 10, "`cpu_share`"),
         ("no keep time", VALID_SETTINGS.replace("1000\n", "0\n"), 11, "`address_keep_ms`"),
         (
             "negative",
--- a/crates/sassafrasproxy-config/tests/publishing.rs
+++ b/crates/sassafrasproxy-config/tests/publishing.rs
@@ -191,7 +191,7 @@
     faults.extend([StoreFault::ResponseLost; 50]);
     let outcome = publish(&mut store, "a", replace_services(&["x"]), &faults);
     assert!(matches!(outcome, PublishOutcome::UnknownOutcome { .. }), "{outcome:?}");
-    assert_eq!(store.read_configuration().revision, 1, "it did take effect");
+    assert_eq!(store.read_configuration().revision, 1, "the write of the head took effect");
 }
 
 #[test]
@@ -271,7 +271,8 @@
             current.step = current.publisher.step(event);
             store.read_configuration();
         }
-        let heads: Vec<_> = store.committed_heads.iter().map(|text| parse_head(text).unwrap()).collect();
+        let heads: Vec<_> =
+            store.committed_heads.iter().map(|text| parse_head(text).unwrap()).collect();
         for (index, head) in heads.iter().enumerate() {
             prop_assert_eq!(head.revision, index as u64 + 1, "revisions go up by one");
         }
--- a/crates/sassafrasproxy-config/tests/service_files.rs
+++ b/crates/sassafrasproxy-config/tests/service_files.rs
@@ -125,7 +125,7 @@
     let files =
         [("a.sassafras.yaml", VALID_SERVICE_FILE), ("b.sassafras.yaml", other_name.as_str())];
     let diagnostics = read_service_files(&files).unwrap_err();
-    assert_eq!(diagnostics.len(), 2, "both addresses");
+    assert_eq!(diagnostics.len(), 2, "one diagnostic for each of the two addresses");
 }
 
 #[test]
--- a/crates/sassafrasproxy-wire/src/caller.rs
+++ b/crates/sassafrasproxy-wire/src/caller.rs
@@ -43,7 +43,7 @@
     Partial,
 }
 
-/// Which shards an answer covers.
+/// The shards that an answer covers and those that are missing.
 #[derive(Debug, Clone, Default, PartialEq)]
 #[derive(Serialize, Deserialize)]
 pub struct Coverage {
@@ -61,7 +61,7 @@
 pub struct MissingShard {
     /// The shard's id.
     pub shard: ShardId,
-    /// Why the shard is missing.
+    /// The reason why the shard is missing.
     pub reason: FailureReason,
 }
 
@@ -81,25 +81,25 @@
 pub struct QueryAnswer {
     /// The id of the request that this answers.
     pub request_id: EcoString,
-    /// Always [`Outcome::Answered`].
+    /// The outcome; always [`Outcome::Answered`].
     pub outcome: Outcome,
     /// The index that was queried.
     pub index: EcoString,
     /// The snapshot that all results come from.
     pub snapshot: SnapshotId,
-    /// Which shards the answer covers.
+    /// The shards that the answer covers.
     pub coverage: Coverage,
     /// One result for each covered shard.
     pub results: Vec<ShardResult>,
 }
 
-/// The body of any answer to a query that is not a 200.
+/// The body of an answer to a query with another status than 200.
 #[derive(Debug, Clone, PartialEq)]
 #[derive(Serialize, Deserialize)]
 pub struct Refusal {
     /// The id of the request that this answers.
     pub request_id: EcoString,
-    /// Never [`Outcome::Answered`].
+    /// The outcome; never [`Outcome::Answered`].
     pub outcome: Outcome,
     /// The reason in machine-readable form.
     pub reason: FailureReason,
@@ -108,12 +108,12 @@
     /// The retry delay in milliseconds; absent if a retry does not help.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub retry_after_ms: Option<u64>,
-    /// Which shards a partial answer would have covered.
+    /// The shards that a partial answer would have covered.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub coverage: Option<Coverage>,
 }
 
-/// Why a request was refused or a shard is missing.
+/// The reason why a request was refused or a shard is missing.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 #[derive(Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
@@ -124,7 +124,7 @@
     BodyTooLarge,
     /// A service is not in the configuration.
     UnknownService,
-    /// Not every service that is queried declares the kind.
+    /// A queried service does not declare the kind.
     UnknownKind,
     /// The services do not all belong to the same index.
     SeveralIndexes,
@@ -182,7 +182,7 @@
 pub struct AddressList {
     /// The addresses of ingress nodes, in the order to try them.
     pub addresses: Vec<IngressAddress>,
-    /// How long callers may keep the list, in milliseconds.
+    /// The time for which callers may keep the list, in milliseconds.
     pub keep_ms: u64,
 }
 
@@ -257,7 +257,7 @@
     pub group: EcoString,
     /// The replica's address.
     pub address: EcoString,
-    /// The replica's phase, as its home sees it.
+    /// The replica's phase in the home's view.
     pub phase: EcoString,
     /// The current limit on the replica's sub-requests in flight.
     pub limit: u32,
--- a/crates/sassafrasproxy-wire/src/claim.rs
+++ b/crates/sassafrasproxy-wire/src/claim.rs
@@ -26,14 +26,14 @@
     Held {
         /// The fingerprint of the request that holds the claim.
         fingerprint: u64,
-        /// How that request ended; `None` if that is not recorded.
+        /// The ending of that request; `None` if none is recorded.
         ending: Option<Ending>,
     },
     /// The store is unavailable; the claim may have been written, but it is not granted.
     Unavailable,
 }
 
-/// How a claimed request ended.
+/// The final state of a claimed request.
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 #[serde(tag = "ending", rename_all = "snake_case")]
@@ -49,7 +49,7 @@
     NotRun,
 }
 
-/// A request to record how a claimed request ended.
+/// A request to record the ending of a claimed request.
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct RecordEndingRequest {
@@ -57,7 +57,7 @@
     pub key: EcoString,
     /// The token that the claim was granted to.
     pub token: EcoString,
-    /// How the request ended.
+    /// The ending of the request.
     pub ending: Ending,
 }
 
@@ -65,7 +65,8 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct ClaimLogSegment {
-    /// The id of the batch; identifies a segment as written if the store's answer was lost.
+    /// The id of the batch of records; shows whether the segment was written if the store's answer
+    /// was lost.
     pub batch: EcoString,
     /// The records of the segment, in order.
     pub records: Vec<ClaimLogRecord>,
@@ -78,7 +79,7 @@
 pub enum ClaimLogRecord {
     /// Claims a key, unless an earlier record holds it.
     Claim(ClaimRequest),
-    /// Records how a claimed request ended.
+    /// Records the ending of a claimed request.
     Ending(RecordEndingRequest),
     /// Closes the log for further claims; they go to the log of the next epoch.
     Sealed,
--- a/crates/sassafrasproxy-wire/src/peer.rs
+++ b/crates/sassafrasproxy-wire/src/peer.rs
@@ -22,13 +22,13 @@
 pub const HOLDINGS_METHOD: &str = "holdings";
 /// The method that sends a node's published holdings to a peer.
 pub const PUSH_HOLDINGS_METHOD: &str = "push_holdings";
-/// The method that hands a replica group's state to its new home.
+/// The method that sends a replica group's state to its new home.
 pub const HAND_OVER_METHOD: &str = "hand_over";
 /// The method that claims a request key.
 pub const CLAIM_METHOD: &str = "claim";
-/// The method that records how a claimed request ended.
+/// The method that records the ending of a claimed request.
 pub const RECORD_ENDING_METHOD: &str = "record";
-/// The method that tells a peer that a request crashes upstreams.
+/// The method that notifies a peer that a request crashes upstreams.
 pub const QUARANTINE_METHOD: &str = "quarantine";
 
 /// One shard's part of a query, sent by the ingress node to the shard's home.
@@ -108,7 +108,7 @@
 impl SubRequestOutcome {
     /// Returns the overall outcome of a sub-request that was sent elsewhere before.
     ///
-    /// `may_have_run` tells whether it may have run there. If so, [`Self::NotRun`] becomes
+    /// `may_have_run` is whether it may have run there. If so, [`Self::NotRun`] becomes
     /// [`Self::Unknown`], and [`Self::NotHome`] reports that it may have run.
     pub fn with_prior_run(self, may_have_run: bool) -> Self {
         match self {
@@ -121,7 +121,7 @@
     }
 }
 
-/// The snapshots and shards that a replica group can serve, as its home last saw them.
+/// The snapshots and shards that a replica group can serve, in its home's last view.
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct GroupHoldings {
@@ -147,7 +147,7 @@
     pub servable: Vec<EcoString>,
 }
 
-/// A gossip update: what a node knows about itself or another member.
+/// A gossip update on one member: the sender itself or another.
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct MemberUpdate {
@@ -198,11 +198,11 @@
     pub revision: u64,
     /// The number of times that the sender has published holdings.
     pub holdings_version: u64,
-    /// The hash of all members that the sender does not consider dead; shows whether two nodes
-    /// differ.
+    /// The hash of all members that the sender does not consider dead; shows whether the members
+    /// that two nodes list differ.
     pub members_hash: u64,
-    /// Whether `members_hash` has differed from the peers' for long, so that the sender asks for
-    /// more updates.
+    /// Whether `members_hash` has differed from the peers' for a long time, so that the sender asks
+    /// for more updates.
     #[serde(default, skip_serializing_if = "is_false")]
     pub wants_news: bool,
     /// Updates on members.
@@ -266,8 +266,8 @@
     pub group: EcoString,
     /// The name of the old home.
     pub from: EcoString,
-    /// 0 for the hand-over at the move of the home; grows by one with each further hand-over, which
-    /// the old home sends when one of its attempts has ended.
+    /// The sequence number: 0 for the hand-over when the home moves, and one more for each further
+    /// hand-over, which the old home sends when one of its attempts has ended.
     pub sequence: u64,
     /// The state of each replica.
     pub replicas: Vec<ReplicaHandOver>,
@@ -283,7 +283,7 @@
     pub limit: u32,
     /// The number of sub-requests that the old home still has in flight at the replica.
     pub in_flight: u32,
-    /// The time until the last of them ends at the latest, in milliseconds from now.
+    /// The maximum time until the last of them ends, in milliseconds from now.
     pub busy_ms: u64,
     /// The boot id of the upstream process for which the limit was learned; `None` if it is
     /// unknown.
--- a/crates/sassafrasproxy-wire/src/relay.rs
+++ b/crates/sassafrasproxy-wire/src/relay.rs
@@ -12,7 +12,7 @@
 pub enum RelayRequest {
     /// Sends a request to replicas.
     Call(RelayCall),
-    /// Cancels a relay call, because the caller has disconnected.
+    /// Cancels a relay call whose replies are no longer needed.
     Cancel {
         /// The id of the relay call.
         id: u64,
@@ -27,7 +27,7 @@
     pub id: u64,
     /// The caller's attempt id.
     pub attempt_id: EcoString,
-    /// The name of the route, for which the relay keeps its own latencies.
+    /// The name of the route; the relay records its own latencies for each route.
     pub route: EcoString,
     /// The HTTP method.
     pub method: EcoString,
@@ -53,7 +53,8 @@
 pub struct RelayPart {
     /// The index of the shard in the ingress node's query.
     pub shard_index: usize,
-    /// The replica's id; if the relay does not know the replica yet, it does not send.
+    /// The replica's id; a part is [`RelayPartOutcome::Unsent`] if the relay has no entry of the
+    /// replica yet.
     pub replica_id: EcoString,
 }
 
@@ -87,7 +88,7 @@
 pub enum RelayPartOutcome {
     /// The replica answered successfully.
     Answered {
-        /// The stamp with which the replica signed its answer.
+        /// The stamp that the replica put on its answer.
         stamp: EcoString,
     },
     /// The replica answered with an error or without a stamp.
--- a/crates/sassafrasproxy-wire/src/route.rs
+++ b/crates/sassafrasproxy-wire/src/route.rs
@@ -1,4 +1,5 @@
-//! Routes, which map opaque HTTP requests to services and set limits, and replica entries.
+//! Routes, which map opaque HTTP requests to services and set limits, and registry entries of
+//! replicas.
 
 use std::net::SocketAddr;
 
@@ -6,7 +7,7 @@
 use indexmap::IndexMap;
 use serde::{Deserialize, Serialize};
 
-/// One version of all that operators declare about routes.
+/// One version of the operators' configuration of routes, services and caller limits.
 #[derive(Debug, Clone, Default, PartialEq)]
 #[derive(Serialize, Deserialize)]
 pub struct RouteConfiguration {
@@ -34,7 +35,7 @@
     pub is_idempotent: bool,
     /// The longest time that a caller waits for an answer, in milliseconds.
     pub timeout_ms: u64,
-    /// The latency goal, in milliseconds; an answer within this time is worth most.
+    /// The latency goal, in milliseconds; a later answer is worth less to the caller.
     pub goal_ms: u64,
     /// The maximum number of replicas of a service that one caller attempt is sent to; at least 1.
     pub max_attempts: u32,
@@ -62,7 +63,7 @@
     pub fn services(&self) -> Vec<&EcoString> {
         match self {
             Self::Service(service) => vec![service],
-            Self::Split(parts) => parts.iter().map(|part| &part.service).collect(),
+            Self::Split(choices) => choices.iter().map(|choice| &choice.service).collect(),
             Self::Gather(gather) => gather.services.iter().collect(),
         }
     }
@@ -139,7 +140,8 @@
     pub id: EcoString,
     /// The start time, in milliseconds since 1970; distinguishes restarts with the same id.
     pub born_ms: u64,
-    /// The number of the entry; grows with each entry that the replica writes between two starts.
+    /// The sequence number of the entry; grows with each entry that the replica writes between two
+    /// starts.
     pub sequence: u64,
     /// The name of the replica's service.
     pub service: EcoString,
--- a/crates/sassafrasproxy-wire/src/service.rs
+++ b/crates/sassafrasproxy-wire/src/service.rs
@@ -84,8 +84,8 @@
 pub struct ConfigurationHead {
     /// The revision; one more than that of the head that it replaced.
     pub revision: u64,
-    /// The id of the publishing, unique for each; shows whether a write took effect when the
-    /// store's answer was lost.
+    /// The unique id of the publish operation; shows whether a write took effect when the store's
+    /// answer was lost.
     pub publish_id: EcoString,
     /// The name of the publisher.
     pub published_by: EcoString,
--- a/crates/sassafrasproxy-wire/src/timeline.rs
+++ b/crates/sassafrasproxy-wire/src/timeline.rs
@@ -11,7 +11,7 @@
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 #[derive(Serialize, Deserialize)]
 pub struct Hlc {
-    /// The wall time in milliseconds since 1970; that of a peer if it is ahead.
+    /// The wall time, in milliseconds since 1970; a peer's wall time if that is ahead.
     pub wall_ms: u64,
     /// The count that orders timestamps within one millisecond.
     pub count: u32,
@@ -144,7 +144,7 @@
     Retried {
         /// The shard.
         shard: ShardId,
-        /// Why the last attempt failed.
+        /// The reason why the last attempt failed.
         reason: FailureReason,
     },
     /// An upstream crashed while it ran a request.
@@ -168,7 +168,7 @@
     QueryEnded {
         /// The outcome.
         outcome: Outcome,
-        /// The reason, unless it was answered in full.
+        /// The reason; `None` if the query was answered in full.
         #[serde(default, skip_serializing_if = "Option::is_none")]
         reason: Option<FailureReason>,
         /// The fraction of all shards that the answer covers, 0 to 1.
