--- a/crates/sassafrasproxy-wire/src/relay.rs
+++ b/crates/sassafrasproxy-wire/src/relay.rs
@@ -91,7 +91,7 @@
         /// The stamp that the replica put on its answer.
         stamp: EcoString,
     },
-    /// The replica answered with an error or without a stamp.
+    /// The replica answered with a status other than success.
     Faulty,
     /// The replica answered that it did not run the request.
     NotRun,
@@ -99,7 +99,8 @@
     Misdirected,
     /// Nothing was sent to the replica.
     Unsent,
-    /// The request may have run, but no usable answer arrived.
+    /// The request may have run, but no usable answer arrived; an answer without a stamp is not
+    /// usable.
     Lost,
     /// The request may have run, but no answer arrived before the timeout.
     TimedOut,
--- a/crates/sassafrasproxy-wire/src/route.rs
+++ b/crates/sassafrasproxy-wire/src/route.rs
@@ -140,8 +140,8 @@
     pub id: EcoString,
     /// The start time, in milliseconds since 1970; distinguishes restarts with the same id.
     pub born_ms: u64,
-    /// The sequence number of the entry; grows with each entry that the replica writes between two
-    /// starts.
+    /// The sequence number of the entry; grows with each entry that the replica writes until it
+    /// restarts.
     pub sequence: u64,
     /// The name of the replica's service.
     pub service: EcoString,
