--- a/crates/sassafrasproxy-cli/build.rs
+++ b/crates/sassafrasproxy-cli/build.rs
@@ -1,7 +1,8 @@
-//! Links the program at a fixed address.
+//! Links the program as a position-dependent executable.
 //!
-//! A program that can be loaded anywhere writes its tables of pointers anew at each start, half a
-//! megabyte that no two processes share. VMs here are small and keep nothing else of that size.
+//! A position-independent executable relocates its pointer tables at each start, which takes half
+//! a megabyte of memory that processes cannot share. The VMs are small, and nothing else that a
+//! process keeps is of that size.
 
 fn main() {
     println!("cargo::rerun-if-changed=build.rs");
--- a/crates/sassafrasproxy-cli/src/args.rs
+++ b/crates/sassafrasproxy-cli/src/args.rs
@@ -1,21 +1,24 @@
-//! The words of the command line.
+//! Defines the commands and options of the command line.
 
 use std::path::PathBuf;
 
 use clap::builder::ValueParser;
 use clap::{Arg, ArgAction, Command, value_parser};
 
-/// The address of a node when none is named.
+/// The address of the node to ask when the command line names none.
 const DEFAULT_NODE_ADDRESS: &str = "127.0.0.1:7001";
 
-/// The whole command line.
+/// Returns the definition of the whole command line.
 pub fn command() -> Command {
     Command::new("sassafrasproxy")
         .about("A query tier over sharded, replicated upstreams")
         .version(clap::crate_version!())
         .subcommand_required(true)
         .arg_required_else_help(true)
-        .after_help("Exit codes: 0 done, 1 refused, 2 usage, 3 unknown outcome.")
+        .after_help(
+            "Exit codes: 0 done; 1 refused or failed; 2 the command line or a file is invalid; \
+             3 the outcome is unknown, and the change may or may not have taken effect.",
+        )
         .subcommand(
             Command::new("run")
                 .about("Run a node until SIGTERM or SIGINT, then shut down gracefully")
@@ -32,26 +35,35 @@
         )
         .subcommand(
             Command::new("check")
-                .about("Check the service files below some directories")
+                .about("Check the service files in some directories and their subdirectories")
                 .args([dirs_arg(), json_arg()]),
         )
         .subcommand(
             Command::new("publish")
-                .about("Publish all service files below some directories as the configuration")
+                .about(
+                    "Publish the service files in some directories and their subdirectories as \
+                     the configuration",
+                )
                 .args([dirs_arg(), platform_arg(), publisher_arg(), json_arg()])
-                .arg(number_option("expect", "The revision that must be in place")),
+                .arg(number_option(
+                    "expect",
+                    "The revision that must be current; otherwise nothing is published",
+                )),
         )
         .subcommand(domain_command())
         .subcommand(
             Command::new("status")
-                .about("Show a node's members, homes, replicas and configuration")
+                .about("Show the members, homes, replicas and configuration that a node knows")
                 .args([node_arg(), json_arg()]),
         )
         .subcommand(
             Command::new("addresses")
                 .about("Show the addresses that callers should use")
                 .args([node_arg(), json_arg()])
-                .arg(text_option("failure-domain", "The caller's failure domain")),
+                .arg(text_option(
+                    "failure-domain",
+                    "The caller's failure domain; its addresses are listed first",
+                )),
         )
         .subcommand(query_command())
         .subcommand(timeline_command())
@@ -60,20 +72,18 @@
 fn domain_command() -> Command {
     let name = Arg::new("name").required(true).value_name("NAME").help("The failure domain's name");
     Command::new("domain")
-        .about("Take a failure domain out, bring it back, or list all")
+        .about("Take a failure domain out of service, bring it back, or list all")
         .subcommand_required(true)
-        .subcommand(Command::new("out").about("Give a failure domain no new work").args([
-            name.clone(),
-            platform_arg(),
-            publisher_arg(),
-            json_arg(),
-        ]))
-        .subcommand(Command::new("in").about("Give a failure domain work again").args([
-            name,
-            platform_arg(),
-            publisher_arg(),
-            json_arg(),
-        ]))
+        .subcommand(
+            Command::new("out")
+                .about("Take a failure domain out of service: it gets no new work")
+                .args([name.clone(), platform_arg(), publisher_arg(), json_arg()]),
+        )
+        .subcommand(
+            Command::new("in")
+                .about("Bring a failure domain back into service: it gets work again")
+                .args([name, platform_arg(), publisher_arg(), json_arg()]),
+        )
         .subcommand(
             Command::new("list")
                 .about("List the failure domains that services declare")
@@ -83,49 +93,65 @@
 
 fn query_command() -> Command {
     Command::new("query")
-        .about("Send a query and print its answer with what it covers")
+        .about("Send a query and print its answer and coverage")
         .arg(
             Arg::new("services")
                 .required(true)
                 .action(ArgAction::Append)
                 .num_args(1..)
                 .value_name("SERVICE")
-                .help("The services to ask, all of one index"),
+                .help("The services to query; all must belong to the same index"),
         )
         .args([node_arg(), json_arg()])
         .arg(text_option("kind", "The kind of request").default_value("search"))
-        .arg(text_option("body", "The body, as JSON").default_value("{}"))
-        .arg(text_option("request-id", "The request id; the key of a non-idempotent request"))
-        .arg(number_option("deadline-ms", "The time that the query may take, in milliseconds"))
+        .arg(text_option("body", "The request body, as JSON").default_value("{}"))
+        .arg(text_option(
+            "request-id",
+            "The request id; identifies repeats of a non-idempotent request",
+        ))
+        .arg(number_option("deadline-ms", "The maximum time for the query, in milliseconds"))
         .arg(
             Arg::new("min-coverage")
                 .long("min-coverage")
                 .value_parser(value_parser!(f64))
                 .default_value("0")
-                .help("The least fraction of shards to be covered, 0 to 1"),
+                .help("The minimum fraction of shards that the answer must cover, from 0 to 1"),
         )
 }
 
 fn timeline_command() -> Command {
     Command::new("timeline")
-        .about("Show the events of all nodes in one order")
+        .about("Show the events of all nodes, merged in time order")
         .arg(
-            text_option("nodes", "Nodes to ask, by address; their members are asked too")
-                .value_delimiter(',')
-                .default_value(DEFAULT_NODE_ADDRESS),
+            text_option(
+                "nodes",
+                "The addresses of the nodes to ask, separated by commas; all members that these \
+                 nodes know are asked too",
+            )
+            .value_delimiter(',')
+            .default_value(DEFAULT_NODE_ADDRESS),
         )
-        .arg(text_option("request", "Only the events of a request id"))
+        .arg(text_option(
+            "request",
+            "Show only the events of this request id; with --logs, related lines from around that \
+             time are shown too",
+        ))
         .arg(
             Arg::new("logs")
                 .long("logs")
                 .num_args(1..)
                 .value_name("FILE")
                 .value_parser(value_parser!(PathBuf))
-                .help("Read the logs of gateways from files instead of asking nodes"),
+                .help("Read gateway logs from these files instead of asking nodes"),
+        )
+        .arg(text_option("service", "Show only the events that name this service"))
+        .arg(text_option("failure-domain", "Show only the events of nodes in this failure domain"))
+        .arg(
+            Arg::new("follow")
+                .long("follow")
+                .action(ArgAction::SetTrue)
+                .help("Print new events until interrupted"),
         )
-        .arg(text_option("service", "Only the events that name a service"))
-        .arg(text_option("failure-domain", "Only the events of nodes in a failure domain"))
-        .arg(Arg::new("follow").long("follow").action(ArgAction::SetTrue).help("Go on until ended"))
         .arg(json_arg())
 }
 
@@ -135,23 +161,24 @@
         .num_args(1..)
         .value_name("DIR")
         .value_parser(value_parser!(PathBuf))
-        .help("Directories with files that end in .sassafras.yaml")
+        .help("Directories that contain service files (*.sassafras.yaml)")
 }
 
 fn platform_arg() -> Arg {
-    text_option("platform", "The platform's base URL, as http://127.0.0.1:7000").required(true)
+    text_option("platform", "The platform's base URL, for example http://127.0.0.1:7000")
+        .required(true)
 }
 
 fn publisher_arg() -> Arg {
-    text_option("by", "Who publishes, for those who lose a race")
+    text_option("by", "The publisher's name, shown to others whose change conflicts with this one")
 }
 
 fn node_arg() -> Arg {
-    text_option("node", "The node to ask, by address").default_value(DEFAULT_NODE_ADDRESS)
+    text_option("node", "The address of the node to ask").default_value(DEFAULT_NODE_ADDRESS)
 }
 
 fn json_arg() -> Arg {
-    Arg::new("json").long("json").action(ArgAction::SetTrue).help("Print JSON")
+    Arg::new("json").long("json").action(ArgAction::SetTrue).help("Print the result as JSON")
 }
 
 fn path_option(name: &'static str, help: &'static str) -> Arg {
--- a/crates/sassafrasproxy-cli/src/command_outcome.rs
+++ b/crates/sassafrasproxy-cli/src/command_outcome.rs
@@ -1,23 +1,23 @@
-//! How a command ends.
+//! The outcome of a command and its exit code.
 
 use std::process::ExitCode;
 
-/// How a command ends, as its exit code tells.
+/// The outcome of a command, from which its exit code follows.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum CommandOutcome {
-    /// Done.
+    /// The command succeeded.
     Done,
-    /// Refused, with a typed reason printed.
+    /// The request was refused or the command failed; the reason is printed.
     Refused,
-    /// The command line or a file is wrong.
+    /// The command line or a file is invalid.
     UsageError,
-    /// It may or may not have taken effect.
+    /// The change may or may not have taken effect.
     Unknown,
 }
 
 impl From<CommandOutcome> for ExitCode {
-    fn from(end: CommandOutcome) -> Self {
-        Self::from(match end {
+    fn from(outcome: CommandOutcome) -> Self {
+        Self::from(match outcome {
             CommandOutcome::Done => 0,
             CommandOutcome::Refused => 1,
             CommandOutcome::UsageError => 2,
--- a/crates/sassafrasproxy-cli/src/gateway.rs
+++ b/crates/sassafrasproxy-cli/src/gateway.rs
@@ -1,4 +1,4 @@
-//! `gateway`: a node that forwards opaque requests, from its settings to its graceful end.
+//! The `gateway` command: runs a gateway for opaque requests until its graceful shutdown.
 
 use std::path::PathBuf;
 use std::process::ExitCode;
@@ -10,10 +10,12 @@
 use crate::command_outcome::CommandOutcome;
 use crate::logging::{self, LogOutput};
 
-/// Runs a gateway.
+/// Runs a gateway until it is told to stop.
 pub fn run(matches: &ArgMatches) -> ExitCode {
     let Some(path) = matches.get_one::<PathBuf>("settings") else {
-        eprintln!("error: no settings file is named; give one with --settings");
+        eprintln!(
+            "error: no settings file is given; pass one with --settings or SASSAFRASPROXY_CONFIG"
+        );
         return CommandOutcome::UsageError.into();
     };
     let settings = match GatewaySettings::load(path) {
@@ -26,11 +28,11 @@
     let logs = match logging::start(LogOutput::Stdout) {
         Ok(logs) => logs,
         Err(error) => {
-            eprintln!("error: cannot start the thread for logs: {error}");
+            eprintln!("error: cannot start the log writer thread: {error}");
             return CommandOutcome::Refused.into();
         }
     };
-    let end = match Gateway::bind(settings, path.clone()).and_then(Gateway::run) {
+    let outcome = match Gateway::bind(settings, path.clone()).and_then(Gateway::run) {
         Ok(()) => CommandOutcome::Done,
         Err(error) => {
             eprintln!("error: {error}");
@@ -38,5 +40,5 @@
         }
     };
     logs.finish();
-    end.into()
+    outcome.into()
 }
--- a/crates/sassafrasproxy-cli/src/inspect.rs
+++ b/crates/sassafrasproxy-cli/src/inspect.rs
@@ -1,4 +1,4 @@
-//! `status`, `addresses` and `query`.
+//! The commands `status`, `addresses` and `query`.
 
 use clap::ArgMatches;
 use eyre::{OptionExt, Result, WrapErr, bail};
@@ -25,7 +25,7 @@
         println!("REJECTED: {rejected}");
     }
     if !status.domains_out.is_empty() {
-        println!("domains out: {}", status.domains_out.join(", "));
+        println!("failure domains out of service: {}", status.domains_out.join(", "));
     }
     println!("members:");
     for member in &status.members {
@@ -67,17 +67,17 @@
     for entry in &list.addresses {
         println!("{:<22} {}", entry.address, entry.failure_domain);
     }
-    println!("keep for {} ms", list.keep_ms);
+    println!("use these addresses for at most {} ms", list.keep_ms);
     Ok(CommandOutcome::Done)
 }
 
-/// Sends a query.
+/// Sends a query and prints its answer or refusal.
 pub async fn send_query(matches: &ArgMatches) -> Result<CommandOutcome> {
     let body = matches.get_one::<String>("body").map_or("{}", String::as_str);
     let body: serde_json::Value = match serde_json::from_str(body) {
         Ok(body) => body,
         Err(error) => {
-            eprintln!("error: --body is no JSON: {error}");
+            eprintln!("error: --body is not valid JSON: {error}");
             return Ok(CommandOutcome::UsageError);
         }
     };
@@ -95,7 +95,8 @@
     if let Some(deadline_ms) = matches.get_one::<u64>("deadline-ms") {
         call = call.header(DEADLINE_HEADER, *deadline_ms);
     }
-    let response = call.send().await.wrap_err("the node cannot be reached")?;
+    let response =
+        call.send().await.wrap_err("cannot reach the node; name another one with --node")?;
     let status = response.status();
     let text = response.text().await?;
     if status == StatusCode::OK {
@@ -110,7 +111,7 @@
         let outcome = json!(refusal.outcome);
         println!("{}: {}: {}", outcome.as_str().unwrap_or(""), refusal.reason, refusal.detail);
         if let Some(retry_after_ms) = refusal.retry_after_ms {
-            println!("come back after {retry_after_ms} ms");
+            println!("retry after {retry_after_ms} ms");
         }
     }
     Ok(if refusal.outcome == Outcome::Unknown {
@@ -146,14 +147,14 @@
         .get(node_url(matches, path)?)
         .send()
         .await
-        .wrap_err("the node cannot be reached; name another with --node")?;
+        .wrap_err("cannot reach the node; name another one with --node")?;
     if !response.status().is_success() {
-        bail!("the node answered {}", response.status());
+        bail!("the node answered with HTTP status {}", response.status());
     }
     Ok(response.text().await?)
 }
 
-/// A client for calls to nodes.
+/// Returns an HTTP client for calls to nodes; it uses no proxy.
 pub fn http_client() -> Result<Client> {
     Ok(Client::builder().no_proxy().build()?)
 }
@@ -164,5 +165,8 @@
 }
 
 fn parse_response<T: DeserializeOwned>(text: &str) -> Result<T> {
-    serde_json::from_str(text).wrap_err("the node's answer cannot be read; is it of this version?")
+    serde_json::from_str(text).wrap_err(
+        "cannot decode the node's answer; check that the node and this program have the same \
+         version",
+    )
 }
--- a/crates/sassafrasproxy-cli/src/log_reader.rs
+++ b/crates/sassafrasproxy-cli/src/log_reader.rs
@@ -1,4 +1,4 @@
-//! `timeline --logs`: the story of a request, or of a span, from the logs of several processes.
+//! `timeline --logs`: prints the lines of a request, or all lines, from log files of processes.
 
 use std::path::Path;
 
@@ -9,24 +9,25 @@
 
 use crate::timeline::format_time_of_day;
 
-/// How long before a request's first line changes of belief count as part of its story, in
-/// milliseconds: a replica or configuration that decided it may have changed some seconds ago.
+/// How long before a request's first line other lines count as its context, in milliseconds.
+///
+/// A change of a replica or the configuration that affects the request may be some seconds older.
 const CONTEXT_BEFORE_MS: u64 = 10_000;
 
-/// And how long after its last line.
+/// How long after a request's last line other lines count as its context, in milliseconds.
 const CONTEXT_AFTER_MS: u64 = 500;
 
-/// The fields that every line shows in a place of their own.
+/// The fields that are not printed as `key=value`: they have their own column or are left out.
 const COLUMN_FIELDS: [&str; 5] = ["wall_ms", "level", "target", "message", "request"];
 
-/// One line of a process's log.
+/// A line of a process's log.
 #[derive(Debug, Clone, PartialEq)]
 pub struct LogLine {
-    /// The process's node, as its first line names it.
+    /// The name of the process's node.
     pub node: EcoString,
-    /// When, in milliseconds since 1970 by the node's clock.
+    /// The time of the line by the node's clock, in milliseconds since 1970; 0 if it has none.
     pub wall_ms: u64,
-    /// All fields.
+    /// All fields of the line.
     pub fields: Map<String, Value>,
 }
 
@@ -36,30 +37,36 @@
     }
 }
 
-/// Reads the logs of processes and prints the lines that belong to a request, or all.
+/// Reads log files and prints the lines that belong to a request, or all lines.
+///
+/// Returns whether any line is printed.
 pub fn print_logs(files: &[&std::path::PathBuf], request: Option<&str>) -> Result<bool> {
     let mut lines = Vec::new();
     for file in files {
         let text = std::fs::read_to_string(file)
-            .wrap_err_with(|| format!("{} cannot be read", file.display()))?;
+            .wrap_err_with(|| format!("cannot read the log file {}", file.display()))?;
         lines.extend(parse_lines(file, &text));
     }
-    let story = select_lines(lines, request);
-    for line in &story {
+    let selected = select_lines(lines, request);
+    for line in &selected {
         print_line(line);
     }
-    Ok(!story.is_empty())
+    Ok(!selected.is_empty())
 }
 
-/// The lines of a file; what is no log line is passed over, as other programs may write there.
+/// Returns the log lines of a file.
+///
+/// A line's node is the prefix that a log collector adds, else its `node` field, else that of the
+/// line before it; the first lines fall back to the file name. Other text is skipped, as other
+/// programs may write to the same file.
 pub fn parse_lines(file: &Path, text: &str) -> Vec<LogLine> {
     let mut node: EcoString = file.file_stem().unwrap_or_default().to_string_lossy().into();
     let mut lines = Vec::new();
     for line in text.lines() {
-        // A collector may have put its own words before the line, the process's name last.
-        let Some(at) = line.find('{') else { continue };
-        let Ok(Value::Object(fields)) = serde_json::from_str(&line[at..]) else { continue };
-        if let Some(name) = line[..at].split_whitespace().last() {
+        // A log collector may add a prefix to the line, which ends with the process's name.
+        let Some(start) = line.find('{') else { continue };
+        let Ok(Value::Object(fields)) = serde_json::from_str(&line[start..]) else { continue };
+        if let Some(name) = line[..start].split_whitespace().last() {
             node = name.into();
         } else if let Some(name) = fields.get("node").and_then(Value::as_str) {
             node = name.into();
@@ -70,16 +77,21 @@
     lines
 }
 
-/// The lines of a request in order, with the changes of belief around it on its nodes.
+/// Returns all lines in time order, or those of a request with its context.
+///
+/// The context consists of lines that name no request and that the same nodes log around the same
+/// time. Lines about a replica that no line of the request mentions are left out.
 pub fn select_lines(mut lines: Vec<LogLine>, request: Option<&str>) -> Vec<LogLine> {
     lines.sort_by_key(|line| line.wall_ms);
     let Some(request) = request else { return lines };
-    let own: Vec<&LogLine> =
+    let request_lines: Vec<&LogLine> =
         lines.iter().filter(|line| line.str_field("request") == request).collect();
-    let Some((first, last)) = own.first().zip(own.last()) else { return Vec::new() };
+    let Some((first, last)) = request_lines.first().zip(request_lines.last()) else {
+        return Vec::new();
+    };
     let span = first.wall_ms.saturating_sub(CONTEXT_BEFORE_MS)..=last.wall_ms + CONTEXT_AFTER_MS;
-    let nodes: IndexSet<EcoString> = own.iter().map(|line| line.node.clone()).collect();
-    let named: Vec<String> = own
+    let nodes: IndexSet<EcoString> = request_lines.iter().map(|line| line.node.clone()).collect();
+    let mentioned: Vec<String> = request_lines
         .iter()
         .flat_map(|line| {
             [line.str_field("replica").to_owned(), line.str_field("shards").to_owned()]
@@ -91,11 +103,11 @@
             return line.str_field("request") == request;
         }
         let replica = line.str_field("replica");
-        let is_named = replica.is_empty() || named.iter().any(|name| name.contains(replica));
-        is_named && nodes.contains(&line.node) && span.contains(&line.wall_ms)
+        let is_relevant = replica.is_empty() || mentioned.iter().any(|name| name.contains(replica));
+        is_relevant && nodes.contains(&line.node) && span.contains(&line.wall_ms)
     };
-    let kept: Vec<LogLine> = lines.iter().filter(|line| belongs(line)).cloned().collect();
-    kept
+    let selected: Vec<LogLine> = lines.iter().filter(|line| belongs(line)).cloned().collect();
+    selected
 }
 
 fn print_line(line: &LogLine) {
--- a/crates/sassafrasproxy-cli/src/logging.rs
+++ b/crates/sassafrasproxy-cli/src/logging.rs
@@ -1,4 +1,4 @@
-//! Logs as JSON lines.
+//! Writes log records as JSON lines.
 
 use std::io::{self, Write};
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -9,81 +9,84 @@
 use log::kv::{self, Key, VisitSource};
 use serde_json::{Value, json};
 
-/// The log target whose messages are JSON already.
+/// The log target whose messages are already JSON.
 const TIMELINE_TARGET: &str = "timeline";
 
-/// How many lines may wait to be written; further ones are dropped and counted.
+/// The maximum number of lines that wait to be written; further ones are dropped and counted.
 ///
-/// At 150 bytes a line this is 300 KB, and some seconds of a busy node.
+/// At 150 bytes a line this is 300 KB, or what a busy node logs in some seconds.
 const MAX_QUEUED_LINES: usize = 2_048;
 
-/// The most bytes of one write, but for a longer line: what a pipe takes whole, so that the lines
-/// of processes that share one do not mix.
+/// The maximum number of bytes in one write, unless a single line is longer.
+///
+/// A pipe accepts this many bytes atomically, so the lines of processes that share a pipe do not
+/// mix.
 const MAX_WRITE_BYTES: usize = 4_096;
 
-/// How often waiting lines are written, so that one wake-up serves many.
+/// The time between two writes of queued lines, so that one wake-up serves many lines.
 const WRITE_INTERVAL: Duration = Duration::from_millis(250);
 
-/// How long the end of the process waits for the last lines, so that a reader that stalls does not
-/// hold it up.
+/// The maximum time that an ending process waits for the last lines to be written, so that a
+/// stalled reader does not delay it.
 const FINISH_TIMEOUT: Duration = Duration::from_millis(200);
 
-/// Lines that were dropped and not yet told of.
+/// The number of dropped lines that are not yet reported in the log.
 static DROPPED_LINES: AtomicU64 = AtomicU64::new(0);
 
-/// Where logs go.
+/// The destination of log lines.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum LogOutput {
-    /// To standard error, each line at once: for commands that end soon.
+    /// Standard error, with each line written at once; for short-running commands.
     Stderr,
-    /// To standard output, by a thread of its own: a reader that stalls costs lines, not requests.
+    /// Standard output, written by a separate thread: a stalled reader causes dropped lines, but
+    /// does not delay requests.
     Stdout,
 }
 
-/// What ends logging.
+/// A handle that ends logging and waits for the last lines to be written.
 ///
-/// Guards against the loss of a process's last lines, its stop among them: they wait for the next
-/// write, and the process would end before it.
+/// Lines wait for the next write. A process that ends before it would lose its last lines, among
+/// them the one about its stop.
 #[derive(Debug)]
 pub enum LogHandle {
-    /// Nothing waits.
+    /// Each line is written at once, so no lines wait.
     Unbuffered,
-    /// A thread writes what waits.
+    /// A thread writes the queued lines.
     Buffered {
-        /// Dropped to say that no further line comes.
+        /// Dropped to signal that no further lines come.
         shutdown: Sender<()>,
-        /// Closed once all is written.
+        /// Closed once all lines are written.
         done: Receiver<()>,
     },
 }
 
 impl LogHandle {
-    /// Has the last lines written, or gives up after a moment.
+    /// Waits until the last lines are written, for at most `FINISH_TIMEOUT`.
     pub fn finish(self) {
-        let Self::Buffered { shutdown: more, done } = self else { return };
-        drop(more);
-        // A reader that stalls costs the last lines.
+        let Self::Buffered { shutdown, done } = self else { return };
+        drop(shutdown);
+        // After the timeout the last lines are lost; a stalled reader must not delay the exit.
         let _ = done.recv_timeout(FINISH_TIMEOUT);
     }
 }
 
-/// Starts logging; `RUST_LOG` sets the level, `info` if absent.
+/// Starts logging; `RUST_LOG` sets the level, which is `info` by default.
 pub fn start(output: LogOutput) -> io::Result<LogHandle> {
     let mut builder = Builder::from_env(Env::default().default_filter_or("info"));
-    let end = match output {
+    let handle = match output {
         LogOutput::Stderr => LogHandle::Unbuffered,
         LogOutput::Stdout => {
-            let (queue, end) = LineQueue::start()?;
+            let (queue, handle) = LineQueue::start()?;
             builder.target(Target::Pipe(Box::new(queue)));
-            end
+            handle
         }
     };
     builder
         .format(|buffer, record| {
-            let since = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
+            let since_epoch = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
             let message = record.args().to_string();
             let mut line = json!({
-                "wall_ms": since.as_millis() as u64,
+                "wall_ms": since_epoch.as_millis() as u64,
                 "level": record.level().as_str(),
                 "target": record.target(),
             });
@@ -97,7 +100,7 @@
             writeln!(buffer, "{line}")
         })
         .init();
-    Ok(end)
+    Ok(handle)
 }
 
 /// Writes the fields of a log record into its line.
@@ -116,21 +119,21 @@
     }
 }
 
-/// Takes lines without ever blocking, and hands them to a thread that writes them.
+/// Accepts lines without blocking and passes them to the writer thread.
 struct LineQueue {
     lines: SyncSender<Vec<u8>>,
 }
 
 impl LineQueue {
     fn start() -> io::Result<(Self, LogHandle)> {
-        let (lines, waiting) = sync_channel(MAX_QUEUED_LINES);
-        let (more, has_more) = channel();
-        let (writing, done) = channel();
+        let (lines, queued_lines) = sync_channel(MAX_QUEUED_LINES);
+        let (shutdown, shutdown_signal) = channel();
+        let (done_sender, done) = channel();
         std::thread::Builder::new().name("logs".into()).spawn(move || {
-            run_writer(&waiting, &has_more);
-            drop(writing);
+            run_writer(&queued_lines, &shutdown_signal);
+            drop(done_sender);
         })?;
-        Ok((Self { lines }, LogHandle::Buffered { shutdown: more, done }))
+        Ok((Self { lines }, LogHandle::Buffered { shutdown, done }))
     }
 }
 
@@ -147,25 +150,25 @@
     }
 }
 
-/// Writes what waits, some times a second, until no further line comes.
-fn run_writer(waiting: &Receiver<Vec<u8>>, has_more: &Receiver<()>) {
-    while let Ok(first) = waiting.recv() {
-        if write_queued(first, waiting).is_err() {
-            // Nobody reads: there is no other place to say so.
+/// Writes the queued lines once per `WRITE_INTERVAL` until no further lines come.
+fn run_writer(queued_lines: &Receiver<Vec<u8>>, shutdown_signal: &Receiver<()>) {
+    while let Ok(first) = queued_lines.recv() {
+        if write_queued(first, queued_lines).is_err() {
+            // Standard output cannot be written, and there is no other place to report this.
             return;
         }
-        if has_more.recv_timeout(WRITE_INTERVAL) == Err(RecvTimeoutError::Disconnected) {
-            // The same holds here.
-            let _ = write_queued(Vec::new(), waiting);
+        if shutdown_signal.recv_timeout(WRITE_INTERVAL) == Err(RecvTimeoutError::Disconnected) {
+            // A write error has no other place to be reported here either.
+            let _ = write_queued(Vec::new(), queued_lines);
             return;
         }
     }
 }
 
-/// Writes a line and all that wait behind it.
-fn write_queued(first: Vec<u8>, waiting: &Receiver<Vec<u8>>) -> io::Result<()> {
+/// Writes a line and all lines that are queued behind it.
+fn write_queued(first: Vec<u8>, queued_lines: &Receiver<Vec<u8>>) -> io::Result<()> {
     let mut batch = first;
-    for line in waiting.try_iter() {
+    for line in queued_lines.try_iter() {
         batch.extend_from_slice(&line);
     }
     let dropped = DROPPED_LINES.swap(0, Ordering::Relaxed);
@@ -176,18 +179,18 @@
     write_batch(&batch)
 }
 
-/// Writes whole lines, some at a time.
+/// Writes lines in chunks of whole lines, each up to `MAX_WRITE_BYTES` unless one line is longer.
 fn write_batch(batch: &[u8]) -> io::Result<()> {
     let mut stdout = io::stdout().lock();
-    let mut some: Vec<u8> = Vec::with_capacity(MAX_WRITE_BYTES);
+    let mut chunk: Vec<u8> = Vec::with_capacity(MAX_WRITE_BYTES);
     for line in batch.split_inclusive(|byte| *byte == b'\n') {
-        if some.len() + line.len() > MAX_WRITE_BYTES {
-            stdout.write_all(&some)?;
+        if chunk.len() + line.len() > MAX_WRITE_BYTES {
+            stdout.write_all(&chunk)?;
             stdout.flush()?;
-            some.clear();
+            chunk.clear();
         }
-        some.extend_from_slice(line);
+        chunk.extend_from_slice(line);
     }
-    stdout.write_all(&some)?;
+    stdout.write_all(&chunk)?;
     stdout.flush()
 }
--- a/crates/sassafrasproxy-cli/src/main.rs
+++ b/crates/sassafrasproxy-cli/src/main.rs
@@ -1,4 +1,4 @@
-//! The command line: a node to run, and the operators' client.
+//! The `sassafrasproxy` program: runs a node or a gateway, and offers commands for operators.
 
 mod args;
 mod command_outcome;
@@ -23,18 +23,18 @@
         return gateway::run(matches);
     }
     if let Err(error) = logging::start(LogOutput::Stderr) {
-        eprintln!("cannot start: {error}");
+        eprintln!("error: cannot start logging: {error}");
         return CommandOutcome::Refused.into();
     }
     let runtime = match tokio::runtime::Builder::new_multi_thread().enable_all().build() {
         Ok(runtime) => runtime,
         Err(error) => {
-            eprintln!("cannot start: {error}");
+            eprintln!("error: cannot start the async runtime: {error}");
             return CommandOutcome::Refused.into();
         }
     };
     match runtime.block_on(dispatch(&matches)) {
-        Ok(end) => end.into(),
+        Ok(outcome) => outcome.into(),
         Err(report) => {
             eprintln!("error: {report:#}");
             CommandOutcome::Refused.into()
@@ -42,7 +42,7 @@
     }
 }
 
-/// Runs the command that was named.
+/// Runs the given subcommand.
 async fn dispatch(matches: &ArgMatches) -> eyre::Result<CommandOutcome> {
     match matches.subcommand() {
         Some(("run", matches)) => run::run(matches).await,
@@ -53,7 +53,7 @@
         Some(("addresses", matches)) => inspect::show_addresses(matches).await,
         Some(("query", matches)) => inspect::send_query(matches).await,
         Some(("timeline", matches)) => timeline::show_timeline(matches).await,
-        // clap has refused every other word already.
+        // clap rejects every other subcommand before this point.
         _ => Ok(CommandOutcome::UsageError),
     }
 }
--- a/crates/sassafrasproxy-cli/src/publishing.rs
+++ b/crates/sassafrasproxy-cli/src/publishing.rs
@@ -1,4 +1,4 @@
-//! `check`, `publish` and `domain`.
+//! The commands `check`, `publish` and `domain`.
 
 use std::path::PathBuf;
 
@@ -16,7 +16,7 @@
 
 use crate::command_outcome::CommandOutcome;
 
-/// Checks service files.
+/// Checks service files and prints their problems.
 pub fn check_services(matches: &ArgMatches) -> Result<CommandOutcome> {
     let services = match read_service_files(matches) {
         Ok(services) => services,
@@ -30,18 +30,17 @@
     Ok(CommandOutcome::Done)
 }
 
-/// Publishes service files.
+/// Publishes service files as the configuration.
 pub async fn publish_services(matches: &ArgMatches) -> Result<CommandOutcome> {
     let services = match read_service_files(matches) {
         Ok(services) => services,
         Err(problems) => return Ok(print_problems(matches, &problems)),
     };
-    let expect = matches.get_one::<u64>("expect").copied();
-    publish_change(matches, PublishRequest::ReplaceServices { services, expected_revision: expect })
-        .await
+    let expected_revision = matches.get_one::<u64>("expect").copied();
+    publish_change(matches, PublishRequest::ReplaceServices { services, expected_revision }).await
 }
 
-/// Takes a failure domain out or in, or lists all.
+/// Takes a failure domain out of service, brings it back, or lists all.
 pub async fn dispatch_domain(matches: &ArgMatches) -> Result<CommandOutcome> {
     match matches.subcommand() {
         Some(("out", matches)) => {
@@ -92,13 +91,13 @@
     Ok(PlatformClient::new(url.trim_end_matches('/').into())?)
 }
 
-/// Publishes a change and prints what came of it.
+/// Publishes a change and prints the outcome.
 async fn publish_change(matches: &ArgMatches, change: PublishRequest) -> Result<CommandOutcome> {
     let platform = platform_client(matches)?;
     let is_json = matches.get_flag("json");
     let by = matches.get_one::<String>("by").map_or("operator", String::as_str);
     let mut shown = Vec::new();
-    let end = publish(&platform, change, by.into(), |changes| {
+    let outcome = publish(&platform, change, by.into(), |changes| {
         shown = changes.to_vec();
         if !is_json {
             print_changes(changes);
@@ -106,11 +105,11 @@
     })
     .await;
     if is_json {
-        println!("{}", outcome_json(&end, &shown));
+        println!("{}", outcome_json(&outcome, &shown));
     } else {
-        println!("{}", outcome_text(&end));
+        println!("{}", outcome_text(&outcome));
     }
-    Ok(match end {
+    Ok(match outcome {
         PublishOutcome::Done { .. } | PublishOutcome::Unchanged { .. } => CommandOutcome::Done,
         PublishOutcome::UnknownOutcome { .. } => CommandOutcome::Unknown,
         PublishOutcome::Conflict { .. }
@@ -127,39 +126,43 @@
     }
 }
 
-/// What came of a publishing, for people.
-fn outcome_text(end: &PublishOutcome) -> String {
-    match end {
+/// Describes the outcome of a publish as text.
+fn outcome_text(outcome: &PublishOutcome) -> String {
+    match outcome {
         PublishOutcome::Done { revision } => format!("revision {revision} is committed"),
         PublishOutcome::Unchanged { revision } => {
             format!("nothing to change; revision {revision} stays")
         }
         PublishOutcome::Conflict { revision, published_by, differs } => {
-            let differs: Vec<String> = differs.iter().map(|one| format!("\n  {one}")).collect();
+            let differs: Vec<String> =
+                differs.iter().map(|change| format!("\n  {change}")).collect();
             format!(
                 "refused: conflict; `{published_by}` published revision {revision} first{}\n  \
-                 hint: look at that change, then publish again",
+                 hint: review that change, then publish again",
                 differs.concat()
             )
         }
         PublishOutcome::UnknownDomain { declared } => {
-            format!("refused: unknown_domain; declared are: {}", declared.join(", "))
+            format!(
+                "refused: unknown_domain; the declared failure domains are: {}",
+                declared.join(", ")
+            )
         }
         PublishOutcome::Unreadable(error) => format!("refused: unreadable; {error}"),
         PublishOutcome::Unavailable => {
-            "refused: unavailable; the platform stayed away and nothing was changed".into()
+            "refused: unavailable; the platform does not answer, and nothing was changed".into()
         }
         PublishOutcome::UnknownOutcome { publish_id } => format!(
-            "unknown outcome: the platform stayed away after the commit was sent\n  \
-             hint: publish again when it is back; a change that is in force stays as it is \
-             (publish id {publish_id})"
+            "unknown outcome: the platform did not answer after the commit was sent\n  \
+             hint: publish again when the platform answers; if the change is already in force, \
+             this changes nothing (publish id {publish_id})"
         ),
     }
 }
 
-/// What came of a publishing, for programs.
-fn outcome_json(end: &PublishOutcome, shown: &[ConfigurationChange]) -> serde_json::Value {
-    match end {
+/// Describes the outcome of a publish as JSON.
+fn outcome_json(outcome: &PublishOutcome, shown: &[ConfigurationChange]) -> serde_json::Value {
+    match outcome {
         PublishOutcome::Done { revision } => {
             json!({ "outcome": "done", "revision": revision, "changes": shown })
         }
@@ -186,11 +189,11 @@
     }
 }
 
-/// Lists the failure domains that services declare, and whether each is out.
+/// Lists the failure domains that services declare, and whether each is out of service.
 async fn list_domains(matches: &ArgMatches) -> Result<CommandOutcome> {
     let platform = platform_client(matches)?;
-    let read = read_configuration(&platform, &IndexMap::new()).await?;
-    let configuration = match read {
+    let stored = read_configuration(&platform, &IndexMap::new()).await?;
+    let configuration = match stored {
         Some((head, chunks)) => assemble_configuration(&head, &chunks)?,
         None => Default::default(),
     };
--- a/crates/sassafrasproxy-cli/src/run.rs
+++ b/crates/sassafrasproxy-cli/src/run.rs
@@ -1,4 +1,4 @@
-//! `run`: a node from its settings to its graceful end.
+//! The `run` command: runs a node until its graceful shutdown.
 
 use std::path::PathBuf;
 
@@ -11,7 +11,7 @@
 
 use crate::command_outcome::CommandOutcome;
 
-/// Runs a node; prints its addresses as one JSON line once it listens.
+/// Runs a node until SIGTERM or SIGINT; prints its addresses as one JSON line once it listens.
 pub async fn run(matches: &ArgMatches) -> Result<CommandOutcome> {
     let path = matches.get_one::<PathBuf>("settings").ok_or_eyre("--settings is missing")?;
     let settings = match NodeSettings::load(path) {
@@ -23,8 +23,8 @@
     };
     let mut terminate = signal(SignalKind::terminate())?;
     let mut interrupt = signal(SignalKind::interrupt())?;
-    // A later signal of these two within the shutdown is caught here and has no effect;
-    // SIGQUIT keeps its default, which ends the process at once.
+    // A second SIGTERM or SIGINT during the shutdown is caught and has no effect. SIGQUIT keeps
+    // its default action, which ends the process at once.
     let node = Node::start(settings, Tuning::default())?;
     let (address, peer_address) = (node.address(), node.peer_address());
     println!("{}", json!({ "listen": address, "peer_listen": peer_address }));
--- a/crates/sassafrasproxy-cli/src/timeline.rs
+++ b/crates/sassafrasproxy-cli/src/timeline.rs
@@ -1,4 +1,4 @@
-//! `timeline`: the events of all nodes in one order.
+//! The `timeline` command: prints the events of all nodes, merged in time order.
 
 use std::path::PathBuf;
 use std::time::Duration;
@@ -15,30 +15,30 @@
 use crate::inspect::http_client;
 use crate::log_reader;
 
-/// The time between two readings while following.
+/// The time between two reads with `--follow`.
 const FOLLOW_POLL_INTERVAL: Duration = Duration::from_millis(500);
 
-/// How long one node may take to answer.
+/// The maximum time that one node may take to answer.
 const READ_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// The fields of an event that every line shows in a place of their own.
+/// The fields that are not printed as `key=value`: they have their own column or are left out.
 const COLUMN_FIELDS: [&str; 6] =
     ["hlc", "sequence", "node", "failure_domain", "request_id", "event"];
 
-/// Which events to show.
+/// Selects the events to show; an absent field selects all.
 struct EventFilter {
     request_id: Option<String>,
     service: Option<String>,
     failure_domain: Option<String>,
 }
 
-/// Shows the events of all nodes that the named ones know.
+/// Shows the events of the given nodes and of all members that they know, or lines of log files.
 pub async fn show_timeline(matches: &ArgMatches) -> Result<CommandOutcome> {
     let files: Vec<&PathBuf> = matches.get_many::<PathBuf>("logs").into_iter().flatten().collect();
     if !files.is_empty() {
         let request = matches.get_one::<String>("request").map(String::as_str);
-        let is_found = log_reader::print_logs(&files, request)?;
-        return Ok(if is_found { CommandOutcome::Done } else { CommandOutcome::Refused });
+        let has_lines = log_reader::print_logs(&files, request)?;
+        return Ok(if has_lines { CommandOutcome::Done } else { CommandOutcome::Refused });
     }
     let client = http_client()?;
     let filter = EventFilter {
@@ -46,38 +46,39 @@
         service: matches.get_one::<String>("service").cloned(),
         failure_domain: matches.get_one::<String>("failure-domain").cloned(),
     };
-    let named: Vec<&String> = matches.get_many::<String>("nodes").into_iter().flatten().collect();
-    let mut seen: IndexMap<EcoString, u64> = IndexMap::new();
+    let given_nodes: Vec<&String> =
+        matches.get_many::<String>("nodes").into_iter().flatten().collect();
+    let mut last_sequences: IndexMap<EcoString, u64> = IndexMap::new();
     loop {
         let mut nodes: IndexSet<EcoString> = IndexSet::new();
-        for node in &named {
+        for node in &given_nodes {
             nodes.insert(node.as_str().into());
             nodes.extend(fetch_member_addresses(&client, node).await);
         }
         let mut events = Vec::new();
         for node in &nodes {
-            let after = seen.entry(node.clone()).or_default();
-            let read = fetch_events(&client, node, *after).await;
-            *after = read.last().map_or(*after, |event| event.sequence);
-            events.extend(read);
+            let after = last_sequences.entry(node.clone()).or_default();
+            let new_events = fetch_events(&client, node, *after).await;
+            *after = new_events.last().map_or(*after, |event| event.sequence);
+            events.extend(new_events);
         }
         events.sort_by(|a, b| (a.hlc, &a.node, a.sequence).cmp(&(b.hlc, &b.node, b.sequence)));
         for event in events.iter().filter(|event| filter.allows(event)) {
             print_event(event, matches.get_flag("json"));
         }
         if !matches.get_flag("follow") {
-            let is_heard = seen.values().any(|after| *after > 0);
-            return Ok(if is_heard { CommandOutcome::Done } else { CommandOutcome::Refused });
+            let has_events = last_sequences.values().any(|after| *after > 0);
+            return Ok(if has_events { CommandOutcome::Done } else { CommandOutcome::Refused });
         }
         tokio::time::sleep(FOLLOW_POLL_INTERVAL).await;
     }
 }
 
-/// The addresses of a node's members.
+/// Returns the addresses of the members that a node knows; none if it does not answer.
 async fn fetch_member_addresses(client: &Client, node: &str) -> Vec<EcoString> {
     let url = format!("http://{node}/v1/status");
     let Ok(response) = client.get(url).timeout(READ_TIMEOUT).send().await else {
-        eprintln!("{node} cannot be reached");
+        eprintln!("cannot reach node {node} to list its members");
         return Vec::new();
     };
     let status: Option<NodeStatus> = response.json().await.ok();
@@ -95,15 +96,15 @@
 
 impl EventFilter {
     fn allows(&self, event: &TimelineEvent) -> bool {
-        let is_request = self.request_id.as_ref().is_none_or(|wanted| {
+        let request_matches = self.request_id.as_ref().is_none_or(|wanted| {
             event.request_id.as_ref().is_some_and(|id| id.as_str() == wanted.as_str())
         });
-        let is_domain = self
+        let domain_matches = self
             .failure_domain
             .as_ref()
             .is_none_or(|wanted| event.failure_domain.as_str() == wanted.as_str());
-        is_request
-            && is_domain
+        request_matches
+            && domain_matches
             && self.service.as_ref().is_none_or(|name| mentions_service(event, name))
     }
 }
@@ -111,11 +112,11 @@
 /// Whether a field of an event names a service or one of its shards or groups.
 fn mentions_service(event: &TimelineEvent, service: &str) -> bool {
     let Ok(Value::Object(fields)) = serde_json::to_value(&event.kind) else { return false };
-    let is_of = |text: &str| text.split('/').next() == Some(service);
-    fields.values().filter_map(Value::as_str).any(is_of)
+    let belongs_to_service = |text: &str| text.split('/').next() == Some(service);
+    fields.values().filter_map(Value::as_str).any(belongs_to_service)
 }
 
-/// Prints an event as JSON or as a line with one column for each common field.
+/// Prints an event as JSON, or as a line with columns for the common fields.
 fn print_event(event: &TimelineEvent, is_json: bool) {
     let Ok(Value::Object(fields)) = serde_json::to_value(event) else { return };
     if is_json {
@@ -138,7 +139,7 @@
     );
 }
 
-/// The time of day of a wall time, in UTC.
+/// Formats the UTC time of day of a wall-clock time in milliseconds since 1970.
 pub fn format_time_of_day(wall_ms: u64) -> String {
     let second = wall_ms / 1_000;
     let (hour, minute) = (second / 3_600 % 24, second / 60 % 60);
