--- a/crates/sassafrasproxy-cli/tests/answer_correctness.rs
+++ b/crates/sassafrasproxy-cli/tests/answer_correctness.rs
@@ -1,4 +1,5 @@
-//! Answers under upstream faults: one snapshot, true coverage, everyone's own answer.
+//! Tests of answers under upstream faults: each must come from one snapshot, state its coverage
+//! correctly and belong to its request.
 
 #![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 
@@ -22,7 +23,8 @@
     system
 }
 
-/// Sends one search with a text of its own and checks all that must hold of any answer.
+/// Sends one search with a given text and checks what must hold for every answer: its coverage,
+/// its snapshot and that it belongs to this request.
 async fn send_checked_search(node: SocketAddr, text: &str) -> Option<QueryAnswer> {
     let request = json!({ "services": SERVICES, "kind": "search", "body": { "text": text } });
     let answer = send_query(node, request.to_string(), &[]).await.ok()?;
@@ -37,7 +39,7 @@
     Some(answer)
 }
 
-/// Sends searches for a while; returns how many were answered in full, and how many sent.
+/// Sends a number of searches; returns how many were answered in full, and how many were sent.
 async fn send_checked_searches(node: SocketAddr, count: usize) -> (usize, usize) {
     let mut full = 0;
     for number in 0..count {
@@ -48,8 +50,9 @@
     (full, count)
 }
 
-// Answers come crossed, cut off in the middle, shed, or not at all. Each must be repeated on
-// another replica or be missing with a reason; none may reach a caller.
+// Guards against faulty upstream answers that reach a caller: answers for another request,
+// truncated ones, shed requests, and none at all after a crash. Each request must be repeated on
+// another replica, or its shard be missing with a reason.
 #[tokio::test(flavor = "multi_thread")]
 async fn faulty_upstream_answers() {
     let faults: [(&str, UpstreamFault, UpstreamFault); 4] = [
@@ -70,9 +73,9 @@
     }
 }
 
-// One replica of a service answers every request with another request's id, for as long as it
-// runs. Its sibling is sound, so callers must get whole answers: the budget for second sends,
-// which covers the first few, must not be spent on that replica for good.
+// Guards against a replica that permanently uses up the budget for hedges and retries. One replica
+// answers every request with another request's id, for as long as it runs; the budget covers only
+// the first few of these answers. The other replica is sound, so callers must get complete answers.
 #[tokio::test(flavor = "multi_thread")]
 async fn persistently_mismatched_answers() {
     let system = start_cluster().await;
@@ -82,7 +85,8 @@
     assert!(full * 10 > sent * 9, "{full} of {sent}");
 }
 
-// Something in between forgets every open connection, under load. Nobody may wait for good.
+// Guards against requests that wait forever on stalled connections. A device between node and
+// upstream drops the state of every open connection under load, so bytes are lost without an error.
 #[tokio::test(flavor = "multi_thread")]
 async fn stalled_connections() {
     let system = start_cluster().await;
@@ -95,13 +99,13 @@
     assert_eq!(full, sent, "each was sent again on a new connection");
 }
 
-/// A snapshot with every shard of a layout.
+/// Returns a snapshot that holds every shard of its layout.
 fn complete_snapshot(id: u64, shards: usize) -> HeldSnapshot {
     HeldSnapshot { id, shards: shard_names(shards), layout: shard_names(shards) }
 }
 
-// Index versions change under queries: replicas take the new snapshot and drop the old one, one
-// by one, while searches run. Every answer must come from one of the two.
+// Guards against answers that mix snapshots. While searches run, replicas load the new snapshot and
+// drop the old one, one replica after another. Every answer must come from one of the two.
 #[tokio::test(flavor = "multi_thread")]
 async fn rolling_snapshots() {
     let system = start_cluster().await;
@@ -114,7 +118,7 @@
             upstream.apply_fault(UpstreamFault::Hold(both));
             tokio::time::sleep(Duration::from_millis(150)).await;
         }
-        // Statuses lag: the old one goes before everyone has read of the new one.
+        // Statuses lag, so a replica may drop the old snapshot before every node knows the new one.
         for (service, upstream) in &system.upstreams {
             upstream.apply_fault(UpstreamFault::Hold(vec![complete_snapshot(8, shards(service))]));
             tokio::time::sleep(Duration::from_millis(150)).await;
@@ -126,8 +130,9 @@
     assert_eq!(answer.snapshot, 8);
 }
 
-// A service is split from 2 shards into 4 under load. No range may be missing or doubled without
-// being said: every answer covers one layout or names what is missing of it.
+// Guards against answers that omit or duplicate a key range without saying so while a service is
+// split from 2 shards into 4 under load. Every answer must cover one layout, or name the shards of
+// it that are missing.
 #[tokio::test(flavor = "multi_thread")]
 async fn resharding() {
     let system = start_cluster().await;
@@ -159,8 +164,8 @@
     assert_eq!((answer.snapshot, answer.results.len()), (8, 4));
 }
 
-// One request crashes each upstream that runs it, and its caller sends it again and again through
-// all nodes. At most two replicas may die, and others' searches go on.
+// Guards against a request that crashes every upstream that runs it, while its caller repeats it
+// through all nodes. At most two replicas may crash, and other searches must still be answered.
 #[tokio::test(flavor = "multi_thread")]
 async fn poison_request() {
     let system = start_cluster().await;
@@ -172,8 +177,9 @@
         let node = system.nodes[number % 2].address();
         let _ = send_query(node, poison.to_string(), &[]).await;
     }
-    let deaths: u32 = system.upstreams.iter().map(|(_, upstream)| upstream.crash_count()).sum();
-    assert!((1..=2).contains(&deaths), "{deaths} died");
+    let crash_count: u32 =
+        system.upstreams.iter().map(|(_, upstream)| upstream.crash_count()).sum();
+    assert!((1..=2).contains(&crash_count), "{crash_count} crashed");
     for node in &system.nodes {
         search_until_complete(node.address(), &SERVICES).await;
     }
--- a/crates/sassafrasproxy-cli/tests/at_most_once.rs
+++ b/crates/sassafrasproxy-cli/tests/at_most_once.rs
@@ -1,4 +1,4 @@
-//! Requests that may run once only, through separate processes.
+//! Tests with separate processes that non-idempotent requests run at most once.
 
 #![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 
@@ -14,7 +14,7 @@
 use support::{Cluster, search_until_complete, send_query};
 use tokio::task::JoinSet;
 
-/// Sends a reorder under a key.
+/// Sends a reorder, which is not idempotent, with a key as its request id.
 async fn send_reorder(
     node: SocketAddr,
     key: &str,
@@ -24,7 +24,7 @@
     send_query(node, request.to_string(), &[("x-request-id", key)]).await
 }
 
-/// How often upstreams began to run each reorder, by its body.
+/// Returns how often upstreams started to run each reorder, by its body.
 fn run_counts(system: &Cluster) -> IndexMap<String, usize> {
     let mut counts = IndexMap::new();
     let runs = system.upstreams.iter().flat_map(|(_, upstream)| upstream.runs());
@@ -34,8 +34,8 @@
     counts
 }
 
-async fn start_cluster(nodes: usize) -> Cluster {
-    let system = Cluster::start(nodes).await;
+async fn start_cluster(node_count: usize) -> Cluster {
+    let system = Cluster::start(node_count).await;
     for node in &system.nodes {
         search_until_complete(node.address(), &["counter-desk"]).await;
     }
@@ -48,7 +48,7 @@
     let (first, other) = (system.nodes[0].address(), system.nodes[1].address());
     let answer = send_reorder(first, "order-1", "100 cards").await.unwrap();
     let repeat = loop {
-        // What became of the order is recorded just after its answer went out.
+        // The outcome of the order is recorded just after its answer is sent.
         match send_reorder(other, "order-1", "100 cards").await {
             Ok(repeat) => break repeat,
             Err((_, refusal)) => assert_eq!(refusal.reason, FailureReason::KeyUsed),
@@ -61,8 +61,8 @@
     assert_eq!(run_counts(&system).into_values().collect::<Vec<_>>(), [1]);
 }
 
-// The platform's store is away. Staff must hear at once that the order did not run, so that they
-// can try later; it must not hang, and must not run.
+// Guards against an order that hangs or runs while the platform's store is unavailable. The answer
+// must say at once that the order did not run, so that staff can retry it later.
 #[tokio::test(flavor = "multi_thread")]
 async fn store_unavailable() {
     let system = start_cluster(2).await;
@@ -83,8 +83,8 @@
     assert!(run_counts(&system).values().all(|count| *count == 1));
 }
 
-// The entry node is killed while the order runs. Staff send it again through another node; a
-// second print run would cost a day's paper.
+// Guards against a second run of an order whose ingress node is killed while the order runs. Staff
+// send the order again through another node; a second print run would cost a day's paper.
 #[tokio::test(flavor = "multi_thread")]
 async fn killed_ingress_node() {
     let mut system = start_cluster(2).await;
@@ -110,9 +110,10 @@
     assert_eq!(run_counts(&system).into_values().collect::<Vec<_>>(), [1]);
 }
 
-// Staff at three counters send twenty orders again and again through all nodes until each is
-// answered, while answers of the store are lost, an upstream dies and a node is paused. The
-// upstreams' own logs must show each order at most once, and every answer its own order.
+// Guards against orders that run twice, and against answers for another order, when several faults
+// coincide: the store's answers are lost, an upstream crashes and a node is paused. Meanwhile three
+// callers repeat twenty orders through all nodes until each is answered. The upstreams' own records
+// must show each order at most once, and every answer must belong to its order.
 #[tokio::test(flavor = "multi_thread")]
 async fn repeated_requests_under_faults() {
     let system = start_cluster(3).await;
--- a/crates/sassafrasproxy-cli/tests/drain_and_shutdown.rs
+++ b/crates/sassafrasproxy-cli/tests/drain_and_shutdown.rs
@@ -1,4 +1,4 @@
-//! Failure domains that go out and come back, and nodes that shut down.
+//! Tests of failure domains that are taken out of service, draining upstreams and node shutdown.
 
 #![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 
@@ -17,8 +17,8 @@
 use support::{Cluster, FAILURE_DOMAINS, WAIT_TIMEOUT, search_until_complete, send_query};
 use tokio::task::JoinHandle;
 
-/// Sends searches through a node, one after another, until told to stop; returns how many came
-/// back, and all that were not answered in full.
+/// Sends searches through a node, one after another, until the returned flag is set; the task
+/// returns the number of searches and each refusal.
 fn spawn_searches(node: SocketAddr) -> (Arc<AtomicBool>, JoinHandle<(usize, Vec<String>)>) {
     let stop = Arc::new(AtomicBool::new(false));
     let stopped = stop.clone();
@@ -51,7 +51,7 @@
     reqwest::get(url).await.unwrap().json().await.unwrap()
 }
 
-/// Waits until something is so.
+/// Waits until a check holds; fails the test with `what` after `WAIT_TIMEOUT`.
 async fn wait_until<F: Future<Output = bool>>(what: &str, mut check: impl FnMut() -> F) {
     let wait = async {
         while !check().await {
@@ -61,9 +61,10 @@
     assert!(tokio::time::timeout(WAIT_TIMEOUT, wait).await.is_ok(), "{what}");
 }
 
-/// Waits until what was sent before the word came has arrived and ended.
+/// Waits until everything that was sent to some upstreams has arrived and ended.
 ///
-/// Nothing running at one moment is not enough: a send may still be on its way.
+/// It is not enough that nothing runs at one moment, as a send may still be on its way. The number
+/// of runs must also stay the same for 100 ms.
 async fn wait_until_idle(upstreams: &[&UpstreamStandIn]) {
     wait_until("what was sent has ended", || async {
         let count = || upstreams.iter().map(|one| one.run_count()).sum::<u64>();
@@ -82,18 +83,19 @@
     system
 }
 
-// Operators take a zone out at short notice and bring it back, under load. No query may be lost
-// or refused for it, its replicas must get no new work, and callers must be sent elsewhere.
+// Guards against lost or refused queries when operators take a failure domain out of service under
+// load and bring it back. Its replicas must get no new work, its nodes no homes, and callers must
+// be sent to other nodes.
 #[tokio::test(flavor = "multi_thread")]
 async fn domain_out_and_in() {
     let system = start_cluster().await;
     let nodes: Vec<SocketAddr> =
         system.nodes.iter().map(sassafrasproxy_standin::NodeProcess::address).collect();
-    let askers: Vec<_> = nodes.iter().map(|node| spawn_searches(*node)).collect();
+    let search_tasks: Vec<_> = nodes.iter().map(|node| spawn_searches(*node)).collect();
     let platform = PlatformClient::new(system.platform.url()).unwrap();
     let out = PublishRequest::DomainOut(FAILURE_DOMAINS[1].into());
-    let end = publish(&platform, out, "test".into(), |_| {}).await;
-    assert_eq!(end, PublishOutcome::Done { revision: 2 });
+    let outcome = publish(&platform, out, "test".into(), |_| {}).await;
+    assert_eq!(outcome, PublishOutcome::Done { revision: 2 });
     for node in &nodes {
         wait_until("the revision is in force", || async {
             fetch_status(*node).await.revision == 2
@@ -107,7 +109,7 @@
         let list = fetch_addresses(*node).await;
         assert!(list.addresses.iter().all(|entry| entry.failure_domain != FAILURE_DOMAINS[1]));
     }
-    // The second replica of each service is in the domain; what runs there may end.
+    // The second replica of each service is in the domain; work that runs there may end.
     let in_domain: Vec<_> =
         system.upstreams.iter().skip(1).step_by(2).map(|(_, upstream)| upstream).collect();
     wait_until_idle(&in_domain).await;
@@ -121,15 +123,15 @@
         in_domain.iter().map(|one| one.run_count()).sum::<u64>() > before
     })
     .await;
-    for (stop, asker) in askers {
+    for (stop, search_task) in search_tasks {
         stop.store(true, Ordering::Relaxed);
-        let (count, failures) = asker.await.unwrap();
+        let (count, failures) = search_task.await.unwrap();
         assert!(failures.is_empty(), "{} of {count}: {:?}", failures.len(), failures.first());
     }
 }
 
-// An upstream is about to be taken away, and only one source says so: its status, its answers, or
-// the platform's list. It must get no new work soon, and no search may be lost for it.
+// Guards against new work for an upstream that is about to be removed, when only one source says
+// so: its status, its answers, or the platform's list of VMs. No search may be lost meanwhile.
 #[tokio::test(flavor = "multi_thread")]
 async fn draining_upstream() {
     let status = UpstreamFault::Drain { in_status: true, in_answers: false };
@@ -137,17 +139,17 @@
     for (source, fault) in [("status", Some(status)), ("answers", Some(answers)), ("list", None)] {
         let system = start_cluster().await;
         let node = system.nodes[0].address();
-        let (stop, asker) = spawn_searches(node);
-        let (_, leaver) = &system.upstreams[0];
+        let (stop, search_task) = spawn_searches(node);
+        let (_, leaving) = &system.upstreams[0];
         match fault {
-            Some(fault) => leaver.apply_fault(fault),
+            Some(fault) => leaving.apply_fault(fault),
             None => system.platform.set_vms(vec![VmEntry {
-                address: leaver.address().to_string().into(),
+                address: leaving.address().to_string().into(),
                 failure_domain: FAILURE_DOMAINS[0].into(),
                 state: VmState::Leaving,
             }]),
         }
-        let name = leaver.address().to_string();
+        let name = leaving.address().to_string();
         wait_until("its home knows", || async {
             let mut known = false;
             for node in &system.nodes {
@@ -159,28 +161,28 @@
             known
         })
         .await;
-        wait_until_idle(&[leaver]).await;
-        let before = leaver.run_count();
+        wait_until_idle(&[leaving]).await;
+        let before = leaving.run_count();
         for _ in 0..20 {
             search_until_complete(node, &["art-archive"]).await;
         }
-        assert_eq!(leaver.run_count(), before, "{source}: new work");
+        assert_eq!(leaving.run_count(), before, "{source}: new work");
         stop.store(true, Ordering::Relaxed);
-        let (count, failures) = asker.await.unwrap();
+        let (count, failures) = search_task.await.unwrap();
         assert!(failures.is_empty(), "{source}: {} of {count}", failures.len());
     }
 }
 
-// A VM is replaced as planned. Callers that still use its address must be served until they have
-// moved on, nothing may be lost, and the process ends well; an impatient second signal changes
-// nothing.
+// Guards against lost searches when the node of a VM that is replaced shuts down. Callers that
+// still use its address must be served until they use another one, the process must exit with
+// success, and a second SIGTERM must have no effect.
 #[tokio::test(flavor = "multi_thread")]
 async fn graceful_shutdown() {
     let mut system = start_cluster().await;
     let nodes: Vec<SocketAddr> =
         system.nodes.iter().map(sassafrasproxy_standin::NodeProcess::address).collect();
     let others: Vec<_> = nodes[..2].iter().map(|node| spawn_searches(*node)).collect();
-    let (stop, leaver) = spawn_searches(nodes[2]);
+    let (stop, search_task) = spawn_searches(nodes[2]);
     system.nodes[2].terminate().unwrap();
     wait_until("the others know", || async {
         let list = fetch_addresses(nodes[0]).await.addresses;
@@ -188,10 +190,10 @@
     })
     .await;
     system.nodes[2].terminate().unwrap();
-    // Callers keep an address for 200 ms here; after that nobody asks there.
+    // Callers keep an address for 200 ms here; after that no caller uses the node.
     tokio::time::sleep(Duration::from_millis(50)).await;
     stop.store(true, Ordering::Relaxed);
-    let (count, failures) = leaver.await.unwrap();
+    let (count, failures) = search_task.await.unwrap();
     assert!(failures.is_empty(), "{} of {count}: {:?}", failures.len(), failures.first());
     assert!(system.nodes[2].wait_for_exit().unwrap().success());
     for node in &nodes[..2] {
@@ -201,9 +203,9 @@
         })
         .await;
     }
-    for (stop, asker) in others {
+    for (stop, search_task) in others {
         stop.store(true, Ordering::Relaxed);
-        let (count, failures) = asker.await.unwrap();
+        let (count, failures) = search_task.await.unwrap();
         assert!(failures.is_empty(), "{} of {count}: {:?}", failures.len(), failures.first());
     }
 }
--- a/crates/sassafrasproxy-cli/tests/end_to_end.rs
+++ b/crates/sassafrasproxy-cli/tests/end_to_end.rs
@@ -1,4 +1,4 @@
-//! A query through separate processes, from caller to upstream and back.
+//! Tests of queries through separate processes, from caller to upstream and back.
 
 mod support;
 
@@ -29,10 +29,9 @@
     }
 }
 
-// A user at a shop counter would see a search hang, or an answer without the art archive that
-// does not say so. A node is killed with SIGKILL; for a while the other nodes still take it for
-// the home of its groups. Cause: views lag behind deaths. Every query must still be answered
-// truly, and soon in full again.
+// Guards against searches that hang, or that omit shards without saying so, after a node is killed
+// with SIGKILL. Views lag behind, so for a while the other nodes still treat it as the home of its
+// groups. Every answer must state its coverage correctly, and soon be complete again.
 #[tokio::test(flavor = "multi_thread")]
 async fn killed_node() {
     let mut system = Cluster::start(3).await;
@@ -46,9 +45,9 @@
     }
 }
 
-// A user would see queries stall until their deadline. A node is paused with SIGSTOP, so its
-// sockets stay open and take bytes, but nothing comes back. Cause: a paused home looks like a
-// slow one. The entry must go round it.
+// Guards against queries that stall until their deadline while a node is paused with SIGSTOP. Its
+// sockets stay open and accept bytes, but it answers nothing, so a paused home looks like a slow
+// one. The ingress node must route around it.
 #[tokio::test(flavor = "multi_thread")]
 async fn paused_node() {
     let system = Cluster::start(3).await;
@@ -61,8 +60,8 @@
     search_until_complete(system.nodes[1].address(), &["art-archive", "counter-desk"]).await;
 }
 
-// A caller hangs up while its search runs. The upstream's slots would stay taken until the
-// deadline for an answer that nobody reads; the cancellation must go all the way down.
+// Guards against upstream slots that stay occupied until the deadline after a caller disconnects
+// while its search runs. The cancellation must reach the upstream.
 #[tokio::test(flavor = "multi_thread")]
 async fn caller_disconnects() {
     let system = Cluster::start(2).await;
@@ -89,17 +88,20 @@
             tokio::time::sleep(Duration::from_millis(1)).await;
         }
         drop(call);
-        let end = Instant::now() + WAIT_TIMEOUT;
+        let deadline = Instant::now() + WAIT_TIMEOUT;
         while running() > 0 {
-            assert!(Instant::now() < end, "still running long after its caller left");
+            assert!(Instant::now() < deadline, "still running long after its caller left");
             tokio::time::sleep(Duration::from_millis(1)).await;
         }
     }
     let runs = system.upstreams.iter().flat_map(|(_, upstream)| upstream.runs());
-    let ends: Vec<_> =
-        runs.map(|run| run.outcome).filter(|end| *end != Some(RunOutcome::Answered)).collect();
-    // More than one for each caller would mean that they ended by being given up and sent again.
-    assert_eq!(ends, [Some(RunOutcome::Cancelled); 2]);
+    let outcomes: Vec<_> = runs
+        .map(|run| run.outcome)
+        .filter(|outcome| *outcome != Some(RunOutcome::Answered))
+        .collect();
+    // More than one run for each caller would mean that the node abandoned a send and repeated it,
+    // rather than cancelling it.
+    assert_eq!(outcomes, [Some(RunOutcome::Cancelled); 2]);
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -112,7 +114,7 @@
     search_until_complete(node, &["art-archive"]).await;
     let unknown = json!({ "services": ["art-archive"], "kind": "fly", "body": {} });
     send_query(node, unknown.to_string(), &[]).await.unwrap_err();
-    let mut wanted = vec![
+    let mut missing_metrics = vec![
         "sassafrasproxy.queries:1|c|#node:vm-0,outcome:answered",
         "sassafrasproxy.query_ms:",
         "sassafrasproxy.coverage_ratio:1",
@@ -121,19 +123,22 @@
     ];
     let mut buffer = [0; 2_048];
     let all = async {
-        while !wanted.is_empty() {
-            // The buffer is sent when it is full, so something must go on.
+        while !missing_metrics.is_empty() {
+            // The node sends its metrics when its buffer is full, so queries must continue.
             search_until_complete(node, &["art-archive"]).await;
             while let Ok(length) = statsd.try_recv(&mut buffer) {
                 let text = String::from_utf8_lossy(&buffer[..length]).into_owned();
-                wanted.retain(|name| !text.lines().any(|line| line.starts_with(name)));
+                missing_metrics.retain(|name| !text.lines().any(|line| line.starts_with(name)));
             }
         }
     };
-    assert!(tokio::time::timeout(WAIT_TIMEOUT, all).await.is_ok(), "never sent: {wanted:?}");
+    assert!(
+        tokio::time::timeout(WAIT_TIMEOUT, all).await.is_ok(),
+        "never sent: {missing_metrics:?}"
+    );
 }
 
-// Faults of the stand-ins can be switched from outside as well, for tests by hand.
+// The faults of the stand-ins can also be set over HTTP, for manual tests.
 #[tokio::test(flavor = "multi_thread")]
 async fn faults_over_http() {
     let system = Cluster::start(1).await;
@@ -212,8 +217,8 @@
     search_until_complete(node, &["counter-desk"]).await;
 }
 
-// A caller's program reuses an id by mistake while its first request still runs. It would get
-// one of two answers under one id and could take it for the other's.
+// Guards against two answers under one request id. A caller's program reuses an id by mistake while
+// its first request still runs, and could take one request's answer for the other's.
 #[tokio::test(flavor = "multi_thread")]
 async fn duplicate_request_id() {
     let system = Cluster::start(1).await;
--- a/crates/sassafrasproxy-cli/tests/operator_commands.rs
+++ b/crates/sassafrasproxy-cli/tests/operator_commands.rs
@@ -1,4 +1,4 @@
-//! The operators' commands against a running system.
+//! Tests of the operators' commands against running nodes and stand-ins.
 
 #![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 
@@ -13,14 +13,14 @@
 use support::{Cluster, WAIT_TIMEOUT, binary, search_until_complete};
 use tempfile::TempDir;
 
-fn run_cli(words: &[&str]) -> (i32, String, String) {
-    let Output { status, stdout, stderr } = run_command(binary(), words).unwrap();
+fn run_cli(arguments: &[&str]) -> (i32, String, String) {
+    let Output { status, stdout, stderr } = run_command(binary(), arguments).unwrap();
     let text = |bytes: Vec<u8>| String::from_utf8(bytes).unwrap();
     (status.code().unwrap(), text(stdout), text(stderr))
 }
 
-fn run_cli_json(words: &[&str]) -> (i32, Value) {
-    let (code, output, _) = run_cli(&[words, &["--json"]].concat());
+fn run_cli_json(arguments: &[&str]) -> (i32, Value) {
+    let (code, output, _) = run_cli(&[arguments, &["--json"]].concat());
     (code, serde_json::from_str(output.lines().last().unwrap()).unwrap())
 }
 
@@ -34,25 +34,25 @@
     std::fs::write(dir.join(format!("{name}.sassafras.yaml")), text).unwrap();
 }
 
-/// Waits until a node has heard from all members that they follow a revision. A member's own word
-/// travels with its heartbeats, so another node's status shows it up to an interval later.
+/// Waits until a node's status shows a revision for all members. A member reports its revision with
+/// its heartbeats, so another node's status shows it up to one heartbeat interval later.
 async fn wait_until_all_report_revision(node: &str, revision: u64) {
-    let end = Instant::now() + WAIT_TIMEOUT;
+    let deadline = Instant::now() + WAIT_TIMEOUT;
     loop {
         let (_, status) = run_cli_json(&["status", "--node", node]);
         let members = status["members"].as_array().unwrap();
         if members.iter().all(|member| member["revision"] == revision) {
             return;
         }
-        assert!(Instant::now() < end, "never heard from all: {members:?}");
+        assert!(Instant::now() < deadline, "never heard from all: {members:?}");
         tokio::time::sleep(Duration::from_millis(20)).await;
     }
 }
 
 #[test]
 fn help_and_usage_errors() {
-    for words in [&["--help"][..], &["run", "--help"], &["domain", "out", "--help"]] {
-        let (code, output, _) = run_cli(words);
+    for arguments in [&["--help"][..], &["run", "--help"], &["domain", "out", "--help"]] {
+        let (code, output, _) = run_cli(arguments);
         assert_eq!(code, 0);
         assert!(output.contains("Usage:"), "{output}");
     }
@@ -93,8 +93,8 @@
     assert_eq!((code, refused["reason"].as_str()), (1, Some("conflict")));
     assert_eq!(refused["published_by"], "test");
 
-    let words = ["publish", "--platform", url.as_str(), dir_name, "--expect", "1"];
-    let (code, done) = run_cli_json(&words);
+    let arguments = ["publish", "--platform", url.as_str(), dir_name, "--expect", "1"];
+    let (code, done) = run_cli_json(&arguments);
     assert_eq!((code, done["revision"].as_u64()), (0, Some(2)));
     assert_eq!(done["changes"].as_array().unwrap().len(), 4, "one new, three gone");
     let (code, unchanged) = run_cli_json(&["publish", "--platform", url.as_str(), dir_name]);
@@ -110,8 +110,9 @@
     assert_eq!(domains["domains"]["galway-1"], "out");
 }
 
-// The platform is away while an operator publishes. Telling "refused" after the change took
-// effect, or "done" before it did, would send the operator the wrong way.
+// Guards against a wrong outcome when the platform fails, or loses an answer, while an operator
+// publishes. "Refused" after the change took effect, or "done" before it did, would mislead the
+// operator.
 #[tokio::test(flavor = "multi_thread")]
 async fn platform_unavailable() {
     let system = Cluster::start(0).await;
@@ -144,21 +145,21 @@
         run_cli_json(&["addresses", "--node", &node, "--failure-domain", "galway-2"]);
     assert_eq!(code, 0);
     assert_eq!(list["addresses"][0]["failure_domain"], "galway-2", "its own domain first");
-    let words = ["query", "art-archive", "--node", &node, "--request-id", "ask-1"];
-    let (code, answer) = run_cli_json(&words);
+    let arguments = ["query", "art-archive", "--node", &node, "--request-id", "ask-1"];
+    let (code, answer) = run_cli_json(&arguments);
     assert_eq!((code, answer["coverage"]["fraction"].as_f64()), (0, Some(1.0)));
     let (code, refused) = run_cli_json(&["query", "nothing", "--node", &node]);
     assert_eq!((code, refused["reason"].as_str()), (1, Some("unknown_service")));
     let (code, output, _) = run_cli(&["timeline", "--nodes", &node]);
     assert_eq!(code, 0);
     for (event, from) in [("node_started", "vm-1"), ("revision_in_force", "vm-0")] {
-        let is_told = |line: &str| line.contains(event) && line.contains(from);
-        assert!(output.lines().any(is_told), "{event} of {from}");
+        let has_event = |line: &str| line.contains(event) && line.contains(from);
+        assert!(output.lines().any(has_event), "{event} of {from}");
     }
     let (_, output, _) = run_cli(&["timeline", "--nodes", &node, "--request", "ask-1"]);
     assert_eq!(output.lines().count(), 1, "{output}");
     assert!(output.contains("query_ended"), "{output}");
-    for words in [&["status", "--node", &node][..], &["addresses", "--node", &node]] {
-        assert_eq!(run_cli(words).0, 0);
+    for arguments in [&["status", "--node", &node][..], &["addresses", "--node", &node]] {
+        assert_eq!(run_cli(arguments).0, 0);
     }
 }
--- a/crates/sassafrasproxy-cli/tests/request_diagnosis.rs
+++ b/crates/sassafrasproxy-cli/tests/request_diagnosis.rs
@@ -1,4 +1,4 @@
-//! From a request's id to its cause, by the logs of the processes.
+//! Tests that logs and metrics explain how a request ended, given its id.
 
 #![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 
@@ -10,8 +10,9 @@
 
 use crate::gateway::{Cluster, HOST, binary};
 
-/// A caller complains about an answer that left a shard out. The engineer has its id and the
-/// logs of all processes: they name the shard, the replica and why.
+/// Guards against an answer with a missing shard that the logs do not explain. Both replicas of a
+/// shard fail; given the request's id and the logs of all processes, `timeline` must name the
+/// shard, a replica and the reason.
 #[tokio::test(flavor = "multi_thread")]
 async fn missing_shard() {
     let system = Cluster::start(2).await;
@@ -35,16 +36,16 @@
         .args(&files)
         .output()
         .unwrap();
-    let story = String::from_utf8(output.stdout).unwrap();
-    assert!(output.status.success(), "{story}");
-    assert!(story.contains("shard-2: AllTried after s2"), "{story}");
-    assert!(story.contains("a configuration is in force"), "{story}");
-    assert!(!story.contains("a replica is listed           id=s0a"), "{story}");
+    let timeline = String::from_utf8(output.stdout).unwrap();
+    assert!(output.status.success(), "{timeline}");
+    assert!(timeline.contains("shard-2: AllTried after s2"), "{timeline}");
+    assert!(timeline.contains("a configuration is in force"), "{timeline}");
+    assert!(!timeline.contains("a replica is listed           id=s0a"), "{timeline}");
 }
 
-/// A request for one service is refused, as none of its replicas is listed any more. The answer
-/// says that it did not run; the log must say which service that was and why, since a route's name
-/// alone does not lead to it.
+/// Guards against a refusal that the log does not explain. None of a service's replicas is listed
+/// any more, so a request for it is refused and does not run. The log must name the service and the
+/// reason, since the route's name alone does not lead to the service.
 #[tokio::test(flavor = "multi_thread")]
 async fn refused_without_replica() {
     let system = Cluster::start(1).await;
@@ -57,7 +58,7 @@
     assert_eq!((&line["last"], &line["may_have_run"]), (&"".into(), &false.into()), "{line}");
 }
 
-/// The metrics say how requests ended, and why.
+/// The metrics count how requests ended, and for what reason.
 #[tokio::test(flavor = "multi_thread")]
 async fn metrics() {
     let system = Cluster::start(1).await;
--- a/crates/sassafrasproxy-cli/tests/soak_short.rs
+++ b/crates/sassafrasproxy-cli/tests/soak_short.rs
@@ -1,4 +1,4 @@
-//! A short soak with fixed seeds; more, and longer ones, by hand.
+//! A short soak test with fixed seeds; other seeds and longer runs are started by hand.
 
 #![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 
@@ -6,7 +6,7 @@
 
 use sassafrasproxy_soak::{SoakSettings, run_soak};
 
-/// Seeds that CI plays.
+/// The seeds that CI runs.
 const SEEDS: [u64; 2] = [1, 2];
 
 #[tokio::test(flavor = "multi_thread")]
--- a/crates/sassafrasproxy-cli/tests/support/mod.rs
+++ b/crates/sassafrasproxy-cli/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! A system of separate node processes around stand-ins.
+//! Starts separate node processes with stand-ins for the platform and the upstreams.
 
 #![allow(dead_code, clippy::unwrap_used, reason = "each test file uses its part")]
 
@@ -15,7 +15,7 @@
 use sassafrasproxy_wire::{QueryAnswer, Refusal};
 use serde_json::json;
 
-/// How long a test waits for a state before it counts as never reached.
+/// The maximum time that a test waits for a state before it fails.
 pub const WAIT_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// The failure domains of the test system.
@@ -24,16 +24,17 @@
 /// Node processes with stand-ins for the platform and the upstreams.
 pub struct Cluster {
     pub platform: PlatformStandIn,
-    /// Each replica with its service.
+    /// Each replica, with the name of its service.
     pub upstreams: Vec<(String, UpstreamStandIn)>,
     pub nodes: Vec<NodeProcess>,
-    /// Where nodes that start from now on send their metrics.
+    /// The address to which nodes that are started from now on send their metrics.
     pub statsd: Option<SocketAddr>,
 }
 
 impl Cluster {
-    /// Starts a number of nodes over three services of two indexes.
-    pub async fn start(nodes: usize) -> Self {
+    /// Starts the stand-ins of three services in two indexes, publishes the services and starts
+    /// a number of nodes.
+    pub async fn start(node_count: usize) -> Self {
         let platform = PlatformStandIn::start(SocketAddr::from(([127, 0, 0, 1], 0))).unwrap();
         let art =
             ServiceSetup { shard_count: 2, ..ServiceSetup::small("art-archive", "catalogue") };
@@ -52,7 +53,7 @@
             let addresses: Vec<SocketAddr> =
                 replicas.iter().map(UpstreamStandIn::address).collect();
             let mut spec = setup.service_spec(&addresses, &domains);
-            // The replicas may hold more shards than they do at first.
+            // Allows the replicas to hold more shards later than they do at first.
             spec.upstreams.iter_mut().for_each(|upstream| upstream.shards = shard_names(4));
             services.insert(setup.name.clone(), spec);
             upstreams.extend(replicas.into_iter().map(|replica| (setup.name.to_string(), replica)));
@@ -61,7 +62,7 @@
         let change = PublishRequest::ReplaceServices { services, expected_revision: None };
         publish(&client, change, "test".into(), |_| {}).await;
         let mut system = Self { platform, upstreams, nodes: Vec::new(), statsd: None };
-        for number in 0..nodes {
+        for number in 0..node_count {
             system.add_node(number);
         }
         system
@@ -91,7 +92,7 @@
     Path::new(env!("CARGO_BIN_EXE_sassafrasproxy"))
 }
 
-/// Sends a query; a refusal comes with its status.
+/// Sends a query; a refusal is returned with its HTTP status.
 pub async fn send_query(
     node: SocketAddr,
     body: String,
@@ -111,11 +112,12 @@
     Err((status, serde_json::from_str(&text).unwrap()))
 }
 
-/// Sends a search until it is answered in full; every answer before that must be a true one.
+/// Repeats a search until it is answered in full; checks that the coverage of each earlier answer
+/// matches its results.
 pub async fn search_until_complete(node: SocketAddr, services: &[&str]) -> QueryAnswer {
     let request =
         json!({ "services": services, "kind": "search", "body": { "text": "verse" } }).to_string();
-    let end = Instant::now() + WAIT_TIMEOUT;
+    let deadline = Instant::now() + WAIT_TIMEOUT;
     loop {
         let last = match send_query(node, request.clone(), &[]).await {
             Ok(answer) => {
@@ -127,7 +129,7 @@
             }
             Err(refusal) => format!("{refusal:?}"),
         };
-        if Instant::now() > end {
+        if Instant::now() > deadline {
             let url = format!("http://{node}/v1/status");
             let status = reqwest::get(url).await.unwrap().text().await.unwrap();
             panic!("never answered in full; last {last}; status {status}");
