--- a/crates/sassafrasproxy-cli/src/args.rs
+++ b/crates/sassafrasproxy-cli/src/args.rs
@@ -17,7 +17,7 @@
         .arg_required_else_help(true)
         .after_help(
             "Exit codes: 0 done; 1 refused or failed; 2 the command line or a file is invalid; \
-             3 the outcome is unknown, and the change may or may not have taken effect.",
+             3 the outcome is unknown, and the request may or may not have taken effect.",
         )
         .subcommand(
             Command::new("run")
@@ -72,7 +72,7 @@
 fn domain_command() -> Command {
     let name = Arg::new("name").required(true).value_name("NAME").help("The failure domain's name");
     Command::new("domain")
-        .about("Take a failure domain out of service, bring it back, or list all")
+        .about("Take a failure domain out of service, bring it back, or list all failure domains")
         .subcommand_required(true)
         .subcommand(
             Command::new("out")
@@ -86,7 +86,7 @@
         )
         .subcommand(
             Command::new("list")
-                .about("List the failure domains that services declare")
+                .about("List the declared failure domains and whether each is in service")
                 .args([platform_arg(), json_arg()]),
         )
 }
--- a/crates/sassafrasproxy-cli/src/command_outcome.rs
+++ b/crates/sassafrasproxy-cli/src/command_outcome.rs
@@ -11,7 +11,7 @@
     Refused,
     /// The command line or a file is invalid.
     UsageError,
-    /// The change may or may not have taken effect.
+    /// The request may or may not have taken effect.
     Unknown,
 }
 
--- a/crates/sassafrasproxy-cli/src/inspect.rs
+++ b/crates/sassafrasproxy-cli/src/inspect.rs
@@ -11,7 +11,7 @@
 
 use crate::command_outcome::CommandOutcome;
 
-/// Shows a node's status.
+/// Prints a node's status.
 pub async fn show_status(matches: &ArgMatches) -> Result<CommandOutcome> {
     let text = fetch_text(matches, "/v1/status").await?;
     if matches.get_flag("json") {
@@ -22,7 +22,7 @@
     let leaving = if status.leaving { ", leaving" } else { "" };
     println!("{} in {}, revision {}{leaving}", status.node, status.failure_domain, status.revision);
     if let Some(rejected) = &status.rejected_revision {
-        println!("REJECTED: {rejected}");
+        println!("rejected a newer revision: {rejected}");
     }
     if !status.domains_out.is_empty() {
         println!("failure domains out of service: {}", status.domains_out.join(", "));
@@ -54,7 +54,7 @@
     Ok(CommandOutcome::Done)
 }
 
-/// Shows the addresses that callers should use.
+/// Prints the addresses that callers should use.
 pub async fn show_addresses(matches: &ArgMatches) -> Result<CommandOutcome> {
     let domain = matches.get_one::<String>("failure-domain");
     let query = domain.map_or_else(String::new, |domain| format!("?failure_domain={domain}"));
@@ -127,9 +127,9 @@
         return;
     }
     let coverage = &answer.coverage;
-    let all = coverage.covered.len() + coverage.missing.len();
+    let shard_count = coverage.covered.len() + coverage.missing.len();
     println!(
-        "answered from snapshot {} of {}: {} of {all} shards",
+        "answered from snapshot {} of {}: {} of {shard_count} shards",
         answer.snapshot,
         answer.index,
         coverage.covered.len()
--- a/crates/sassafrasproxy-cli/src/log_reader.rs
+++ b/crates/sassafrasproxy-cli/src/log_reader.rs
@@ -11,7 +11,7 @@
 
 /// How long before a request's first line other lines count as its context, in milliseconds.
 ///
-/// A change of a replica or the configuration that affects the request may be some seconds older.
+/// A replica or the configuration may change some seconds before a request and still affect it.
 const CONTEXT_BEFORE_MS: u64 = 10_000;
 
 /// How long after a request's last line other lines count as its context, in milliseconds.
@@ -56,14 +56,14 @@
 
 /// Returns the log lines of a file.
 ///
-/// A line's node is the prefix that a log collector adds, else its `node` field, else that of the
-/// line before it; the first lines fall back to the file name. Other text is skipped, as other
-/// programs may write to the same file.
+/// A line's node is the last word of the prefix that a log collector adds, else its
+/// `node` field, else the node of the line before it, else the file's name. Other text is skipped,
+/// as other programs may write to the same file.
 pub fn parse_lines(file: &Path, text: &str) -> Vec<LogLine> {
     let mut node: EcoString = file.file_stem().unwrap_or_default().to_string_lossy().into();
     let mut lines = Vec::new();
     for line in text.lines() {
-        // A log collector may add a prefix to the line, which ends with the process's name.
+        // A log collector may add a prefix to the line; its last word is the process's name.
         let Some(start) = line.find('{') else { continue };
         let Ok(Value::Object(fields)) = serde_json::from_str(&line[start..]) else { continue };
         if let Some(name) = line[..start].split_whitespace().last() {
--- a/crates/sassafrasproxy-cli/src/logging.rs
+++ b/crates/sassafrasproxy-cli/src/logging.rs
@@ -14,7 +14,7 @@
 
 /// The maximum number of lines that wait to be written; further ones are dropped and counted.
 ///
-/// At 150 bytes a line this is 300 KB, or what a busy node logs in some seconds.
+/// At 150 bytes a line this is 300 KB, which a busy node logs within some seconds.
 const MAX_QUEUED_LINES: usize = 2_048;
 
 /// The maximum number of bytes in one write, unless a single line is longer.
@@ -45,8 +45,8 @@
 
 /// A handle that ends logging and waits for the last lines to be written.
 ///
-/// Lines wait for the next write. A process that ends before it would lose its last lines, among
-/// them the one about its stop.
+/// Lines wait for the next write, so a process that ended at once would lose its last lines,
+/// including the one that reports its shutdown.
 #[derive(Debug)]
 pub enum LogHandle {
     /// Each line is written at once, so no lines wait.
@@ -158,7 +158,7 @@
             return;
         }
         if shutdown_signal.recv_timeout(WRITE_INTERVAL) == Err(RecvTimeoutError::Disconnected) {
-            // A write error has no other place to be reported here either.
+            // A write error cannot be reported here either.
             let _ = write_queued(Vec::new(), queued_lines);
             return;
         }
--- a/crates/sassafrasproxy-cli/tests/answer_correctness.rs
+++ b/crates/sassafrasproxy-cli/tests/answer_correctness.rs
@@ -85,8 +85,9 @@
     assert!(full * 10 > sent * 9, "{full} of {sent}");
 }
 
-// Guards against requests that wait forever on stalled connections. A device between node and
-// upstream drops the state of every open connection under load, so bytes are lost without an error.
+// Guards against requests that wait forever on stalled connections. Something between node
+// and upstream, such as a firewall, forgets every open connection under load, so that no answer and
+// no error arrives.
 #[tokio::test(flavor = "multi_thread")]
 async fn stalled_connections() {
     let system = start_cluster().await;
--- a/crates/sassafrasproxy-cli/tests/drain_and_shutdown.rs
+++ b/crates/sassafrasproxy-cli/tests/drain_and_shutdown.rs
@@ -173,7 +173,7 @@
     }
 }
 
-// Guards against lost searches when the node of a VM that is replaced shuts down. Callers that
+// Guards against lost searches when a node shuts down because its VM is replaced. Callers that
 // still use its address must be served until they use another one, the process must exit with
 // success, and a second SIGTERM must have no effect.
 #[tokio::test(flavor = "multi_thread")]
