--- a/crates/sassafrasproxy-core/src/forward/sending/fetch.rs
+++ b/crates/sassafrasproxy-core/src/forward/sending/fetch.rs
@@ -41,7 +41,7 @@
         /// The replica.
         replica: EcoString,
         /// The attempt's id in the pool.
-        send: SendId,
+        send_id: SendId,
         /// The reason for the attempt.
         cause: SendCause,
     },
@@ -220,6 +220,6 @@
         self.in_flight += 1;
         self.attempts += 1;
         self.last_sent_us = now_us;
-        FetchStep::Send { replica, send, cause }
+        FetchStep::Send { replica, send_id: send, cause }
     }
 }
--- a/crates/sassafrasproxy-core/tests/fetches.rs
+++ b/crates/sassafrasproxy-core/tests/fetches.rs
@@ -58,7 +58,7 @@
 
     fn expect_send(&mut self, now_us: u64, expected: SendCause) {
         let step = self.next(now_us);
-        let FetchStep::Send { replica, send, cause } = step else { panic!("{step:?}") };
+        let FetchStep::Send { replica, send_id: send, cause } = step else { panic!("{step:?}") };
         assert_eq!(cause, expected);
         self.pool.finish_send(&replica, send, now_us, SendOutcome::Cancelled, None);
     }
--- a/crates/sassafrasproxy-core/tests/shards/mod.rs
+++ b/crates/sassafrasproxy-core/tests/shards/mod.rs
@@ -289,7 +289,7 @@
                 return u64::MAX;
             }
             match fetch.next(self.now_us, &query.fetch_plan, &mut node.pool, &mut node.budget) {
-                FetchStep::Send { replica, send, cause } => {
+                FetchStep::Send { replica, send_id: send, cause } => {
                     let domain = node.domain;
                     let replica =
                         self.replicas.iter().position(|candidate| candidate.id == replica).unwrap();
--- a/crates/sassafrasproxy-gateway/src/gather.rs
+++ b/crates/sassafrasproxy-gateway/src/gather.rs
@@ -290,7 +290,7 @@
                 shard.fetch.next(now_us, &self.fetch_plan, &mut pool, &mut budget)
             };
             match step {
-                FetchStep::Send { replica, send, cause } => {
+                FetchStep::Send { replica, send_id: send, cause } => {
                     self.traffic.count_send(cause);
                     let request = &self.request.attempt_id;
                     log::debug!(request:%, replica:%, cause:?; "starting a send to a replica");
@@ -424,7 +424,7 @@
 
     /// Records the result of a send that this node made.
     fn handle_send_result(&mut self, index: usize, result: UpstreamResult) {
-        self.shards[index].fetch.record_result(result.try_result());
+        self.shards[index].fetch.record_result(result.send_result());
         let UpstreamResult::Answered(answer) = result else { return };
         let Some(stamp) = answer.head.stamp.filter(|_| answer.status.is_success()) else { return };
         // Two parts with the same stamp would make the whole answer wrong.
--- a/crates/sassafrasproxy-gateway/src/relay_call.rs
+++ b/crates/sassafrasproxy-gateway/src/relay_call.rs
@@ -151,7 +151,7 @@
         let mut parts = Vec::with_capacity(reply.parts.len());
         for part in reply.parts {
             let Some(guard) = pending_sends.swap_remove(&part.shard_index) else { continue };
-            let (outcome, result, stamp) = interpret_relay_end(part.outcome);
+            let (outcome, result, stamp) = interpret_part_outcome(part.outcome);
             guard.finish(outcome, part.reported_load);
             if result == SendResult::Answered {
                 traffic.record_latency(&spec.route, took_us);
@@ -166,7 +166,7 @@
 
 /// Converts the outcome that a relay reports for a send into the outcome for the replica, the
 /// result for the fetch, and the stamp of the replica if it answered.
-fn interpret_relay_end(
+fn interpret_part_outcome(
     part_outcome: RelayPartOutcome,
 ) -> (SendOutcome, SendResult, Option<EcoString>) {
     match part_outcome {
--- a/crates/sassafrasproxy-gateway/src/single_replica.rs
+++ b/crates/sassafrasproxy-gateway/src/single_replica.rs
@@ -44,7 +44,7 @@
             fetch.next(now_us, &plan, &mut pool, &mut budget)
         };
         let until_us = match step {
-            FetchStep::Send { replica, send, cause } => {
+            FetchStep::Send { replica, send_id: send, cause } => {
                 traffic.count_send(cause);
                 log::debug!(
                     request:% = request.attempt_id, replica:%, cause:?;
@@ -88,7 +88,7 @@
         };
         let wait = Duration::from_micros(until_us.saturating_sub(now_us));
         let Ok(Some(result)) = timeout(wait, results.recv()).await else { continue };
-        fetch.record_result(result.try_result());
+        fetch.record_result(result.send_result());
         if let UpstreamResult::Answered(answer) = result {
             if !is_failure(answer.status) || !route.is_idempotent {
                 sends.detach();
--- a/crates/sassafrasproxy-gateway/src/upstream.rs
+++ b/crates/sassafrasproxy-gateway/src/upstream.rs
@@ -69,7 +69,7 @@
 
 impl UpstreamResult {
     /// Returns the result for the fetch.
-    pub fn try_result(&self) -> SendResult {
+    pub fn send_result(&self) -> SendResult {
         match self {
             Self::Answered(answer) if is_failure(answer.status) => SendResult::MayHaveRun,
             Self::Answered(_) => SendResult::Answered,
@@ -178,7 +178,7 @@
         let guard = SendGuard::new(&traffic, spec.replica.id.clone(), spec.send_id);
         let started_us = traffic.clock.now_us();
         let result = run_send(&traffic, &spec).await;
-        if result.try_result() == SendResult::Answered {
+        if result.send_result() == SendResult::Answered {
             traffic.record_latency(&spec.route, traffic.clock.now_us() - started_us);
         }
         guard.finish(result.outcome(), result.reported_load());
