--- a/crates/sassafrasproxy-node/src/control.rs
+++ b/crates/sassafrasproxy-node/src/control.rs
@@ -157,8 +157,8 @@
         if head.revision <= self.control_plane.revision() {
             return;
         }
-        let known = std::mem::take(&mut self.chunks);
-        self.chunks = known.into_iter().chain(chunks).collect();
+        let old_chunks = std::mem::take(&mut self.chunks);
+        self.chunks = old_chunks.into_iter().chain(chunks).collect();
         match assemble_configuration(&head, &self.chunks) {
             Ok(configuration) => {
                 self.chunks.retain(|name, _| head.chunks.contains(name));
--- a/crates/sassafrasproxy-node/src/node.rs
+++ b/crates/sassafrasproxy-node/src/node.rs
@@ -97,7 +97,8 @@
 }
 
 impl Node {
-    /// Binds both sockets and starts the node on the current runtime.
+    /// Binds both sockets and starts the node on the current runtime; fails with [`StartError`] if
+    /// a part of the node cannot be started.
     pub fn start(settings: NodeSettings, tuning: Tuning) -> Result<Self, StartError> {
         let listener = bind(settings.listen)?;
         let peer_listener = bind(settings.peer_listen)?;
@@ -115,7 +116,7 @@
             cpu_millis: 0,
             state: MemberState::Alive,
             // The wall time is above the incarnation of any earlier run under this name, so it
-            // overrides what members remember of that run.
+            // overrides the member updates about that run.
             incarnation: unix_time_ms(),
         };
         let control_plane = ControlPlane::new(
--- a/crates/sassafrasproxy-node/src/peer_client.rs
+++ b/crates/sassafrasproxy-node/src/peer_client.rs
@@ -237,7 +237,7 @@
         self.control_call(address, RECORD_ENDING_METHOD, request).await
     }
 
-    /// Tells a peer that a request crashes upstreams.
+    /// Sends a peer the notice that a request is quarantined because it crashes upstreams.
     pub async fn send_quarantine(
         &self,
         address: &EcoString,
--- a/crates/sassafrasproxy-node/src/peer_server.rs
+++ b/crates/sassafrasproxy-node/src/peer_server.rs
@@ -33,6 +33,8 @@
 pub type ServeError = Box<dyn std::error::Error + Send + Sync>;
 
 /// Serves peers on a bound socket until the handle is stopped.
+///
+/// Returns the bound address and the handle, or [`ServeError`] if the server cannot be started.
 pub fn serve(
     listener: std::net::TcpListener,
     runtime: &tokio::runtime::Handle,
--- a/crates/sassafrasproxy-node/src/platform.rs
+++ b/crates/sassafrasproxy-node/src/platform.rs
@@ -43,6 +43,9 @@
 }
 
 /// A client of the platform's key-value service and VM list.
+///
+/// Every call fails with [`PlatformError`] if the platform cannot be reached, refuses the call or
+/// gives no valid answer.
 #[derive(Debug, Clone)]
 pub struct PlatformClient {
     client: Client,
@@ -50,7 +53,8 @@
 }
 
 impl PlatformClient {
-    /// Creates a client for a base URL, which has no trailing slash.
+    /// Creates a client for a base URL, which has no trailing slash; fails if the HTTP client cannot
+    /// be built.
     pub fn new(base_url: EcoString) -> Result<Self, reqwest::Error> {
         let client = Client::builder().no_proxy().timeout(CALL_TIMEOUT).build()?;
         Ok(Self { client, base_url })
@@ -67,7 +71,7 @@
 
     /// Writes a key if it is at revision `expect`, where 0 stands for a key that does not exist.
     ///
-    /// Returns the new revision.
+    /// Returns the new revision, or [`PlatformError::Conflict`] if the key is at another revision.
     pub async fn write(&self, key: &str, value: &str, expect: u64) -> Result<u64, PlatformError> {
         let request = self.client.put(self.key_url(key)).query(&[("expect", expect)]);
         let response = send(request.body(value.to_owned())).await?;
--- a/crates/sassafrasproxy-node/src/publish.rs
+++ b/crates/sassafrasproxy-node/src/publish.rs
@@ -20,6 +20,8 @@
 const MAX_BACKOFF: Duration = Duration::from_secs(2);
 
 /// Publishes a configuration; `show_changes` is called with the changes before anything is written.
+///
+/// After a call whose effect is unknown, waits with exponential backoff before the next step.
 pub async fn publish(
     platform: &PlatformClient,
     request: PublishRequest,
@@ -47,9 +49,10 @@
     }
 }
 
-/// Reads the head and its chunks; takes the texts of chunks in `have` from there.
+/// Reads the head of the configuration and its chunks; chunks in `have` are not read again.
 ///
 /// Returns `None` if the store has no configuration. Chunks that are not in the store are left out.
+/// Fails with [`ReadConfigurationError`] if a call to the store fails or the head is invalid.
 pub async fn read_configuration(
     platform: &PlatformClient,
     have: &IndexMap<EcoString, EcoString>,
@@ -76,7 +79,7 @@
     /// A call to the platform failed.
     #[error(transparent)]
     Platform(#[from] PlatformError),
-    /// The configuration in the store is invalid.
+    /// The head of the configuration in the store is invalid.
     #[error(transparent)]
     Invalid(#[from] AssembleError),
 }
--- a/crates/sassafrasproxy-node/src/query.rs
+++ b/crates/sassafrasproxy-node/src/query.rs
@@ -18,11 +18,11 @@
 use crate::replica_client::remaining_ms;
 use crate::shared::Shared;
 
-/// The time kept for the way of a home's reply is the remaining time divided by this value, but at
-/// least the minimum.
+/// The time reserved for the transmission of a home's reply is the remaining time divided by this
+/// value, but at least the minimum.
 const REPLY_RESERVE_DIVISOR: u64 = 32;
 
-/// The minimum time kept for the way of a home's reply, in microseconds.
+/// The minimum time reserved for the transmission of a home's reply, in microseconds.
 const MIN_REPLY_RESERVE_US: u64 = 2_000;
 
 /// How long a home's reply is awaited beyond the home's own deadline.
--- a/crates/sassafrasproxy-node/src/replica_client.rs
+++ b/crates/sassafrasproxy-node/src/replica_client.rs
@@ -99,7 +99,7 @@
         }
     }
 
-    /// Tells the replica to cancel a request; returns whether the replica confirmed it.
+    /// Sends a cancellation of a request; returns whether the replica confirmed it.
     pub async fn cancel(&self, id: &str) -> bool {
         let url = format!("{}/query/{id}", self.base_url);
         let sent = self.control_client.delete(url).timeout(CONTROL_TIMEOUT).send().await;
--- a/crates/sassafrasproxy-node/src/scheduler_task.rs
+++ b/crates/sassafrasproxy-node/src/scheduler_task.rs
@@ -232,7 +232,10 @@
         }
     }
 
-    /// Reads the statuses of the replicas that are due, while this scheduler is in use.
+    /// Reads the status of each replica that is due.
+    ///
+    /// Reads nothing if this node is not the home and had no sub-request for
+    /// [`FALLBACK_POLL_DURATION_US`].
     fn poll_statuses(&mut self) {
         let now_us = self.shared.clock.now_us();
         if !self.is_home && now_us > self.last_submit_us + FALLBACK_POLL_DURATION_US {
@@ -355,7 +358,8 @@
             .insert(attempt, RunningAttempt { id, replica, abort_handle: handle.abort_handle() });
     }
 
-    /// Tells a replica to cancel an attempt, and frees its slot once the replica confirms.
+    /// Sends a cancellation of an attempt to its replica, and frees the slot once the replica
+    /// confirms.
     fn cancel_attempt(&mut self, attempt: AttemptId) {
         let Some(running) = self.attempts.get(&attempt) else { return };
         let (id, abort_handle) = (running.id.clone(), running.abort_handle.clone());
@@ -396,7 +400,7 @@
         self.scheduler.holdings(local_node, self.shared.events.next_hlc())
     }
 
-    /// Tells this node's schedulers and all peers that a request crashes upstreams.
+    /// Sends the quarantine of a request to this node's schedulers and to all peers.
     fn announce_quarantine(&self, fingerprint: u64, ttl_us: u64) {
         self.shared.schedulers.broadcast(&SchedulerEvent::Quarantine { fingerprint, ttl_us });
         let notice = QuarantineNotice { fingerprint, ttl_ms: ttl_us / US_PER_MS };
--- a/crates/sassafrasproxy-node/src/schedulers.rs
+++ b/crates/sassafrasproxy-node/src/schedulers.rs
@@ -29,9 +29,8 @@
 impl Schedulers {
     /// Runs a sub-request on this node or at the group's home.
     ///
-    /// A node that is no longer the home forwards a sub-request to the new home. So a home that
-    /// moves causes no refusals, even if ingress nodes learn of the move late. A sub-request is
-    /// forwarded at most once.
+    /// A node that is no longer the home forwards a sub-request to the new home, at most once. This
+    /// prevents refusals while the view of an ingress node still contains the old home.
     pub async fn run_sub_request(
         &self,
         shared: &Arc<Shared>,
