--- a/crates/sassafrasproxy-node/src/caller_connections.rs
+++ b/crates/sassafrasproxy-node/src/caller_connections.rs
@@ -17,7 +17,7 @@
 /// The interval between two checks of a connection that has unread bytes.
 const HANGUP_POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Second handles of callers' open connections, which detect a close while a request runs.
+/// Second socket handles of callers' open connections, used to detect a close while a request runs.
 ///
 /// Guards against work for a caller that has closed its connection: the HTTP server does not end
 /// a handler when its connection is closed, so upstream slots would stay in use until the deadline.
--- a/crates/sassafrasproxy-node/src/control.rs
+++ b/crates/sassafrasproxy-node/src/control.rs
@@ -347,8 +347,10 @@
     }
 }
 
-/// Waits for one change of the configuration and reads it; returns the store revision from which
-/// the next watch continues, or `None` if a call failed.
+/// Waits for a change of the configuration, for at most [`WATCH_WAIT`], and reads it.
+///
+/// Returns the store revision from which the next watch continues, or `None` if a call failed or
+/// the read after the change found no valid head.
 ///
 /// A watch from revision 0 returns the current value at once, so a watcher misses no change when
 /// it starts or recovers from an outage.
--- a/crates/sassafrasproxy-node/src/non_idempotent.rs
+++ b/crates/sassafrasproxy-node/src/non_idempotent.rs
@@ -46,7 +46,9 @@
     match answer {
         ClaimAnswer::Granted => {}
         ClaimAnswer::Unavailable => return NonIdempotentResult::ClaimUnavailable,
-        ClaimAnswer::Held { fingerprint: held, .. } if held != fingerprint => {
+        ClaimAnswer::Held { fingerprint: held_fingerprint, .. }
+            if held_fingerprint != fingerprint =>
+        {
             return NonIdempotentResult::KeyReused;
         }
         ClaimAnswer::Held { ending: Some(Ending::Answered { text: Some(text) }), .. } => {
--- a/crates/sassafrasproxy-node/src/platform.rs
+++ b/crates/sassafrasproxy-node/src/platform.rs
@@ -53,8 +53,9 @@
 }
 
 impl PlatformClient {
-    /// Creates a client for a base URL, which has no trailing slash; fails if the HTTP client cannot
-    /// be built.
+    /// Creates a client for a base URL, which has no trailing slash.
+    ///
+    /// Fails with [`reqwest::Error`] if the HTTP client cannot be built.
     pub fn new(base_url: EcoString) -> Result<Self, reqwest::Error> {
         let client = Client::builder().no_proxy().timeout(CALL_TIMEOUT).build()?;
         Ok(Self { client, base_url })
--- a/crates/sassafrasproxy-node/src/publish.rs
+++ b/crates/sassafrasproxy-node/src/publish.rs
@@ -21,7 +21,7 @@
 
 /// Publishes a configuration; `show_changes` is called with the changes before anything is written.
 ///
-/// After a call whose effect is unknown, waits with exponential backoff before the next step.
+/// After a failed call, other than a conflict, waits with exponential backoff before the next step.
 pub async fn publish(
     platform: &PlatformClient,
     request: PublishRequest,
--- a/crates/sassafrasproxy-node/src/replica_client.rs
+++ b/crates/sassafrasproxy-node/src/replica_client.rs
@@ -190,8 +190,10 @@
     (report, body.map(Body::from))
 }
 
-/// Returns the result for a refusal; unless the upstream says that the request did not run, it may
-/// have run.
+/// Returns the result for a status other than 200.
+///
+/// Only status 409, 429 or 503 together with the header [`NOT_RUN_HEADER`] shows that the request
+/// did not run; after any other answer it may have run.
 fn classify_refusal(status: StatusCode, headers: &HeaderMap) -> AttemptResult {
     let is_not_run = headers.get(NOT_RUN_HEADER).is_some_and(|value| value == "true");
     match status {
--- a/crates/sassafrasproxy-wire/src/caller.rs
+++ b/crates/sassafrasproxy-wire/src/caller.rs
@@ -134,9 +134,10 @@
     DuplicateRequestId,
     /// The request key was used before by a request with another fingerprint.
     KeyReused,
-    /// The request key was used before, and the outcome of that request is unknown.
+    /// The request key was used before, and the outcome of that request is unknown or its answer is
+    /// not stored.
     KeyUsed,
-    /// The claim on the request key could not be written, so the request was not run.
+    /// The request key could not be claimed in time, so the request was not run.
     ClaimUnavailable,
     /// The node has no active configuration yet.
     NoConfiguration,
--- a/crates/sassafrasproxy-wire/src/claim.rs
+++ b/crates/sassafrasproxy-wire/src/claim.rs
@@ -3,7 +3,7 @@
 use ecow::EcoString;
 use serde::{Deserialize, Serialize};
 
-/// A request to the home of a bucket of keys to claim a request key.
+/// A request to claim a request key, sent to the home of the key's bucket.
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct ClaimRequest {
