--- a/crates/sassafrasproxy-node/src/publish.rs
+++ b/crates/sassafrasproxy-node/src/publish.rs
@@ -52,7 +52,7 @@
 /// Reads the head of the configuration and its chunks; chunks in `have` are not read again.
 ///
 /// Returns `None` if the store has no configuration. Chunks that are not in the store are left out.
-/// Fails with [`ReadConfigurationError`] if a call to the store fails or the head is invalid.
+/// Fails with `ReadConfigurationError` if a call to the store fails or the head is invalid.
 pub async fn read_configuration(
     platform: &PlatformClient,
     have: &IndexMap<EcoString, EcoString>,
