--- a/crates/sassafrasproxy-node/src/control.rs
+++ b/crates/sassafrasproxy-node/src/control.rs
@@ -157,8 +157,8 @@
         if head.revision <= self.control_plane.revision() {
             return;
         }
-        let known = std::mem::take(&mut self.chunks);
-        self.chunks = known.into_iter().chain(chunks).collect();
+        let old_chunks = std::mem::take(&mut self.chunks);
+        self.chunks = old_chunks.into_iter().chain(chunks).collect();
         match assemble_configuration(&head, &self.chunks) {
             Ok(configuration) => {
                 self.chunks.retain(|name, _| head.chunks.contains(name));
@@ -347,8 +347,10 @@
     }
 }
 
-/// Waits for one change of the configuration and reads it; returns the store revision from which
-/// the next watch continues, or `None` if a call failed.
+/// Waits for a change of the configuration, for at most [`WATCH_WAIT`], and reads it.
+///
+/// Returns the store revision from which the next watch continues, or `None` if a call failed or
+/// the read after the change found no valid head.
 ///
 /// A watch from revision 0 returns the current value at once, so a watcher misses no change when
 /// it starts or recovers from an outage.
