--- a/crates/sassafrasproxy-cli/src/args.rs
+++ b/crates/sassafrasproxy-cli/src/args.rs
@@ -53,7 +53,7 @@
         .subcommand(domain_command())
         .subcommand(
             Command::new("status")
-                .about("Show the members, homes, replicas and configuration that a node knows")
+                .about("Show a node's members, homes, replicas and configuration")
                 .args([node_arg(), json_arg()]),
         )
         .subcommand(
@@ -126,7 +126,7 @@
             text_option(
                 "nodes",
                 "The addresses of the nodes to ask, separated by commas; all members that these \
-                 nodes know are asked too",
+                 nodes list are asked too",
             )
             .value_delimiter(',')
             .default_value(DEFAULT_NODE_ADDRESS),
--- a/crates/sassafrasproxy-cli/src/gateway.rs
+++ b/crates/sassafrasproxy-cli/src/gateway.rs
@@ -10,7 +10,7 @@
 use crate::command_outcome::CommandOutcome;
 use crate::logging::{self, LogOutput};
 
-/// Runs a gateway until it is told to stop.
+/// Runs a gateway until SIGTERM or SIGINT; returns the exit code of the process.
 pub fn run(matches: &ArgMatches) -> ExitCode {
     let Some(path) = matches.get_one::<PathBuf>("settings") else {
         eprintln!(
--- a/crates/sassafrasproxy-cli/src/inspect.rs
+++ b/crates/sassafrasproxy-cli/src/inspect.rs
@@ -12,6 +12,9 @@
 use crate::command_outcome::CommandOutcome;
 
 /// Prints a node's status.
+///
+/// Fails if the node cannot be reached or answers with an error, or if its answer cannot be
+/// decoded.
 pub async fn show_status(matches: &ArgMatches) -> Result<CommandOutcome> {
     let text = fetch_text(matches, "/v1/status").await?;
     if matches.get_flag("json") {
@@ -55,6 +58,9 @@
 }
 
 /// Prints the addresses that callers should use.
+///
+/// Fails if the node cannot be reached or answers with an error, or if its answer cannot be
+/// decoded.
 pub async fn show_addresses(matches: &ArgMatches) -> Result<CommandOutcome> {
     let domain = matches.get_one::<String>("failure-domain");
     let query = domain.map_or_else(String::new, |domain| format!("?failure_domain={domain}"));
@@ -72,6 +78,8 @@
 }
 
 /// Sends a query and prints its answer or refusal.
+///
+/// Fails if the node cannot be reached or its answer cannot be decoded.
 pub async fn send_query(matches: &ArgMatches) -> Result<CommandOutcome> {
     let body = matches.get_one::<String>("body").map_or("{}", String::as_str);
     let body: serde_json::Value = match serde_json::from_str(body) {
@@ -149,12 +157,17 @@
         .await
         .wrap_err("cannot reach the node; name another one with --node")?;
     if !response.status().is_success() {
-        bail!("the node answered with HTTP status {}", response.status());
+        bail!(
+            "the node answered with HTTP status {}; check the address given with --node",
+            response.status()
+        );
     }
     Ok(response.text().await?)
 }
 
-/// Returns an HTTP client for calls to nodes; it uses no proxy.
+/// Returns an HTTP client for calls to nodes, which ignores the system's proxy settings.
+///
+/// Fails if the client cannot be initialized.
 pub fn http_client() -> Result<Client> {
     Ok(Client::builder().no_proxy().build()?)
 }
--- a/crates/sassafrasproxy-cli/src/log_reader.rs
+++ b/crates/sassafrasproxy-cli/src/log_reader.rs
@@ -1,4 +1,4 @@
-//! `timeline --logs`: prints the lines of a request, or all lines, from log files of processes.
+//! Implements `timeline --logs`, which prints the lines of a request, or all lines, of log files.
 
 use std::path::Path;
 
@@ -9,12 +9,12 @@
 
 use crate::timeline::format_time_of_day;
 
-/// How long before a request's first line other lines count as its context, in milliseconds.
+/// The time before a request's first line in which other lines count as context, in milliseconds.
 ///
 /// A replica or the configuration may change some seconds before a request and still affect it.
 const CONTEXT_BEFORE_MS: u64 = 10_000;
 
-/// How long after a request's last line other lines count as its context, in milliseconds.
+/// The time after a request's last line in which other lines count as context, in milliseconds.
 const CONTEXT_AFTER_MS: u64 = 500;
 
 /// The fields that are not printed as `key=value`: they have their own column or are left out.
@@ -23,7 +23,7 @@
 /// A line of a process's log.
 #[derive(Debug, Clone, PartialEq)]
 pub struct LogLine {
-    /// The name of the process's node.
+    /// The name of the node that wrote the line.
     pub node: EcoString,
     /// The time of the line by the node's clock, in milliseconds since 1970; 0 if it has none.
     pub wall_ms: u64,
@@ -39,7 +39,7 @@
 
 /// Reads log files and prints the lines that belong to a request, or all lines.
 ///
-/// Returns whether any line is printed.
+/// Returns whether any line was printed. Fails if a file cannot be read or is not UTF-8 text.
 pub fn print_logs(files: &[&std::path::PathBuf], request: Option<&str>) -> Result<bool> {
     let mut lines = Vec::new();
     for file in files {
@@ -63,7 +63,7 @@
     let mut node: EcoString = file.file_stem().unwrap_or_default().to_string_lossy().into();
     let mut lines = Vec::new();
     for line in text.lines() {
-        // A log collector may add a prefix to the line; its last word is the process's name.
+        // A log collector may add a prefix to the line; its last word is the node's name.
         let Some(start) = line.find('{') else { continue };
         let Ok(Value::Object(fields)) = serde_json::from_str(&line[start..]) else { continue };
         if let Some(name) = line[..start].split_whitespace().last() {
@@ -77,7 +77,8 @@
     lines
 }
 
-/// Returns all lines in time order, or those of a request with its context.
+/// Returns the lines of a request with their context, or all lines if no request is given, in time
+/// order.
 ///
 /// The context consists of lines that name no request and that the same nodes log around the same
 /// time. Lines about a replica that no line of the request mentions are left out.
--- a/crates/sassafrasproxy-cli/src/logging.rs
+++ b/crates/sassafrasproxy-cli/src/logging.rs
@@ -53,9 +53,9 @@
     Unbuffered,
     /// A thread writes the queued lines.
     Buffered {
-        /// Dropped to signal that no further lines come.
+        /// Dropped to make the thread write the queued lines and end.
         shutdown: Sender<()>,
-        /// Closed once all lines are written.
+        /// Disconnects when the thread ends.
         done: Receiver<()>,
     },
 }
@@ -71,6 +71,8 @@
 }
 
 /// Starts logging; `RUST_LOG` sets the level, which is `info` by default.
+///
+/// Fails if the thread that writes to standard output cannot be started.
 pub fn start(output: LogOutput) -> io::Result<LogHandle> {
     let mut builder = Builder::from_env(Env::default().default_filter_or("info"));
     let handle = match output {
@@ -150,7 +152,8 @@
     }
 }
 
-/// Writes the queued lines once per `WRITE_INTERVAL` until no further lines come.
+/// Writes the queued lines at most once per `WRITE_INTERVAL`, until the shutdown signal or a write
+/// error.
 fn run_writer(queued_lines: &Receiver<Vec<u8>>, shutdown_signal: &Receiver<()>) {
     while let Ok(first) = queued_lines.recv() {
         if write_queued(first, queued_lines).is_err() {
--- a/crates/sassafrasproxy-cli/src/publishing.rs
+++ b/crates/sassafrasproxy-cli/src/publishing.rs
@@ -31,6 +31,8 @@
 }
 
 /// Publishes service files as the configuration.
+///
+/// Fails if the platform client cannot be created; a failed publish is a `CommandOutcome`.
 pub async fn publish_services(matches: &ArgMatches) -> Result<CommandOutcome> {
     let services = match read_service_files(matches) {
         Ok(services) => services,
@@ -40,7 +42,10 @@
     publish_change(matches, PublishRequest::ReplaceServices { services, expected_revision }).await
 }
 
-/// Takes a failure domain out of service, brings it back, or lists all.
+/// Takes a failure domain out of service, brings it back, or lists all failure domains.
+///
+/// Fails if the platform client cannot be created or the configuration to list cannot be read; a
+/// failed publish is a `CommandOutcome`.
 pub async fn dispatch_domain(matches: &ArgMatches) -> Result<CommandOutcome> {
     match matches.subcommand() {
         Some(("out", matches)) => {
@@ -96,16 +101,16 @@
     let platform = platform_client(matches)?;
     let is_json = matches.get_flag("json");
     let by = matches.get_one::<String>("by").map_or("operator", String::as_str);
-    let mut shown = Vec::new();
+    let mut proposed_changes = Vec::new();
     let outcome = publish(&platform, change, by.into(), |changes| {
-        shown = changes.to_vec();
+        proposed_changes = changes.to_vec();
         if !is_json {
             print_changes(changes);
         }
     })
     .await;
     if is_json {
-        println!("{}", outcome_json(&outcome, &shown));
+        println!("{}", outcome_json(&outcome, &proposed_changes));
     } else {
         println!("{}", outcome_text(&outcome));
     }
@@ -150,7 +155,9 @@
         }
         PublishOutcome::Unreadable(error) => format!("refused: unreadable; {error}"),
         PublishOutcome::Unavailable => {
-            "refused: unavailable; the platform does not answer, and nothing was changed".into()
+            "refused: unavailable; the platform does not answer, and nothing was changed\n  \
+             hint: publish again when the platform answers"
+                .into()
         }
         PublishOutcome::UnknownOutcome { publish_id } => format!(
             "unknown outcome: the platform did not answer after the commit was sent\n  \
@@ -161,10 +168,13 @@
 }
 
 /// Describes the outcome of a publish as JSON.
-fn outcome_json(outcome: &PublishOutcome, shown: &[ConfigurationChange]) -> serde_json::Value {
+fn outcome_json(
+    outcome: &PublishOutcome,
+    proposed_changes: &[ConfigurationChange],
+) -> serde_json::Value {
     match outcome {
         PublishOutcome::Done { revision } => {
-            json!({ "outcome": "done", "revision": revision, "changes": shown })
+            json!({ "outcome": "done", "revision": revision, "changes": proposed_changes })
         }
         PublishOutcome::Unchanged { revision } => {
             json!({ "outcome": "unchanged", "revision": revision })
--- a/crates/sassafrasproxy-cli/src/run.rs
+++ b/crates/sassafrasproxy-cli/src/run.rs
@@ -12,6 +12,8 @@
 use crate::command_outcome::CommandOutcome;
 
 /// Runs a node until SIGTERM or SIGINT; prints its addresses as one JSON line once it listens.
+///
+/// Fails if a signal handler cannot be installed or the node cannot start.
 pub async fn run(matches: &ArgMatches) -> Result<CommandOutcome> {
     let path = matches.get_one::<PathBuf>("settings").ok_or_eyre("--settings is missing")?;
     let settings = match NodeSettings::load(path) {
--- a/crates/sassafrasproxy-cli/src/timeline.rs
+++ b/crates/sassafrasproxy-cli/src/timeline.rs
@@ -32,7 +32,10 @@
     failure_domain: Option<String>,
 }
 
-/// Shows the events of the given nodes and of all members that they know, or lines of log files.
+/// Shows the events of the given nodes and of all members that they list, or, with `--logs`, the
+/// lines of log files.
+///
+/// Fails if a log file cannot be read or the HTTP client cannot be initialized.
 pub async fn show_timeline(matches: &ArgMatches) -> Result<CommandOutcome> {
     let files: Vec<&PathBuf> = matches.get_many::<PathBuf>("logs").into_iter().flatten().collect();
     if !files.is_empty() {
@@ -74,11 +77,14 @@
     }
 }
 
-/// Returns the addresses of the members that a node knows; none if it does not answer.
+/// Returns the addresses of the members that a node lists; none if it does not answer.
 async fn fetch_member_addresses(client: &Client, node: &str) -> Vec<EcoString> {
     let url = format!("http://{node}/v1/status");
     let Ok(response) = client.get(url).timeout(READ_TIMEOUT).send().await else {
-        eprintln!("cannot reach node {node} to list its members");
+        eprintln!(
+            "cannot reach node {node} to list its members, so their events may be missing; \
+             check the address given with --nodes"
+        );
         return Vec::new();
     };
     let status: Option<NodeStatus> = response.json().await.ok();
@@ -86,6 +92,7 @@
     members.map(|member| member.address).collect()
 }
 
+/// Returns a node's events after a sequence number; none if it does not answer.
 async fn fetch_events(client: &Client, node: &str, after: u64) -> Vec<TimelineEvent> {
     let url = format!("http://{node}/v1/timeline?after={after}");
     match client.get(url).timeout(READ_TIMEOUT).send().await {
--- a/crates/sassafrasproxy-cli/tests/answer_correctness.rs
+++ b/crates/sassafrasproxy-cli/tests/answer_correctness.rs
@@ -24,17 +24,17 @@
 }
 
 /// Sends one search with a given text and checks what must hold for every answer: its coverage,
-/// its snapshot and that it belongs to this request.
+/// its snapshot and that it belongs to this request. Returns `None` if the search is refused.
 async fn send_checked_search(node: SocketAddr, text: &str) -> Option<QueryAnswer> {
     let request = json!({ "services": SERVICES, "kind": "search", "body": { "text": text } });
     let answer = send_query(node, request.to_string(), &[]).await.ok()?;
     let shards: Vec<_> = answer.results.iter().map(|result| result.shard.clone()).collect();
-    assert_eq!(shards, answer.coverage.covered, "the coverage is what is there");
+    assert_eq!(shards, answer.coverage.covered, "the coverage lists the shards of the results");
     for result in &answer.results {
         let body: Value = serde_json::from_str(result.body.get()).unwrap();
-        assert_eq!(body["echo"]["text"], text, "its own answer");
+        assert_eq!(body["echo"]["text"], text, "the answer echoes this request");
         assert_eq!(body["shard"], result.shard.shard.as_str());
-        assert_eq!(body["snapshot"], answer.snapshot, "one snapshot");
+        assert_eq!(body["snapshot"], answer.snapshot, "all results are from one snapshot");
     }
     Some(answer)
 }
@@ -75,7 +75,8 @@
 
 // Guards against a replica that permanently uses up the budget for hedges and retries. One replica
 // answers every request with another request's id, for as long as it runs; the budget covers only
-// the first few of these answers. The other replica is sound, so callers must get complete answers.
+// the first few of these answers. The other replica is healthy, so callers must get complete
+// answers.
 #[tokio::test(flavor = "multi_thread")]
 async fn persistently_mismatched_answers() {
     let system = start_cluster().await;
@@ -85,9 +86,9 @@
     assert!(full * 10 > sent * 9, "{full} of {sent}");
 }
 
-// Guards against requests that wait forever on stalled connections. Something between node
-// and upstream, such as a firewall, forgets every open connection under load, so that no answer and
-// no error arrives.
+// Guards against requests that wait forever on stalled connections. Something between node and
+// upstream, such as a firewall, silently drops every open connection under load, so that no answer
+// and no error arrives.
 #[tokio::test(flavor = "multi_thread")]
 async fn stalled_connections() {
     let system = start_cluster().await;
--- a/crates/sassafrasproxy-cli/tests/at_most_once.rs
+++ b/crates/sassafrasproxy-cli/tests/at_most_once.rs
@@ -24,7 +24,7 @@
     send_query(node, request.to_string(), &[("x-request-id", key)]).await
 }
 
-/// Returns how often upstreams started to run each reorder, by its body.
+/// Returns the number of times that upstreams started to run each reorder, by its body.
 fn run_counts(system: &Cluster) -> IndexMap<String, usize> {
     let mut counts = IndexMap::new();
     let runs = system.upstreams.iter().flat_map(|(_, upstream)| upstream.runs());
@@ -129,7 +129,10 @@
                     let node = nodes[(caller + attempt) % nodes.len()];
                     if let Ok(answer) = send_reorder(node, &key, &body).await {
                         let echo = format!("\"echo\":\"{body}\"");
-                        assert!(answer.results[0].body.get().contains(&echo), "another's answer");
+                        assert!(
+                            answer.results[0].body.get().contains(&echo),
+                            "answer to another order"
+                        );
                         return true;
                     }
                     tokio::time::sleep(Duration::from_millis(40)).await;
--- a/crates/sassafrasproxy-cli/tests/drain_and_shutdown.rs
+++ b/crates/sassafrasproxy-cli/tests/drain_and_shutdown.rs
@@ -66,7 +66,7 @@
 /// It is not enough that nothing runs at one moment, as a send may still be on its way. The number
 /// of runs must also stay the same for 100 ms.
 async fn wait_until_idle(upstreams: &[&UpstreamStandIn]) {
-    wait_until("what was sent has ended", || async {
+    wait_until("all sends have ended", || async {
         let count = || upstreams.iter().map(|one| one.run_count()).sum::<u64>();
         let before = count();
         tokio::time::sleep(Duration::from_millis(100)).await;
@@ -119,7 +119,7 @@
 
     publish(&platform, PublishRequest::DomainIn(FAILURE_DOMAINS[1].into()), "test".into(), |_| {})
         .await;
-    wait_until("its replicas work again", || async {
+    wait_until("the replicas of the failure domain get work again", || async {
         in_domain.iter().map(|one| one.run_count()).sum::<u64>() > before
     })
     .await;
@@ -150,7 +150,7 @@
             }]),
         }
         let name = leaving.address().to_string();
-        wait_until("its home knows", || async {
+        wait_until("a node shows the upstream as draining or its VM as leaving", || async {
             let mut known = false;
             for node in &system.nodes {
                 let replicas = fetch_status(node.address()).await.replicas;
@@ -184,13 +184,13 @@
     let others: Vec<_> = nodes[..2].iter().map(|node| spawn_searches(*node)).collect();
     let (stop, search_task) = spawn_searches(nodes[2]);
     system.nodes[2].terminate().unwrap();
-    wait_until("the others know", || async {
+    wait_until("another node no longer lists the leaving node", || async {
         let list = fetch_addresses(nodes[0]).await.addresses;
         list.iter().all(|entry| entry.address != nodes[2].to_string())
     })
     .await;
     system.nodes[2].terminate().unwrap();
-    // Callers keep an address for 200 ms here; after that no caller uses the node.
+    // Callers may keep an address for 200 ms here, so the searches continue for part of that time.
     tokio::time::sleep(Duration::from_millis(50)).await;
     stop.store(true, Ordering::Relaxed);
     let (count, failures) = search_task.await.unwrap();
--- a/crates/sassafrasproxy-cli/tests/end_to_end.rs
+++ b/crates/sassafrasproxy-cli/tests/end_to_end.rs
@@ -30,8 +30,8 @@
 }
 
 // Guards against searches that hang, or that omit shards without saying so, after a node is killed
-// with SIGKILL. Views lag behind, so for a while the other nodes still treat it as the home of its
-// groups. Every answer must state its coverage correctly, and soon be complete again.
+// with SIGKILL. Membership views lag behind, so for a while the other nodes still treat it as the
+// home of its groups. Every answer must state its coverage correctly, and soon be complete again.
 #[tokio::test(flavor = "multi_thread")]
 async fn killed_node() {
     let mut system = Cluster::start(3).await;
@@ -90,7 +90,7 @@
         drop(call);
         let deadline = Instant::now() + WAIT_TIMEOUT;
         while running() > 0 {
-            assert!(Instant::now() < deadline, "still running long after its caller left");
+            assert!(Instant::now() < deadline, "a search still runs after its caller disconnected");
             tokio::time::sleep(Duration::from_millis(1)).await;
         }
     }
@@ -138,7 +138,7 @@
     );
 }
 
-// The faults of the stand-ins can also be set over HTTP, for manual tests.
+// Checks that the faults of the stand-ins can be set over HTTP, as manual tests do.
 #[tokio::test(flavor = "multi_thread")]
 async fn faults_over_http() {
     let system = Cluster::start(1).await;
--- a/crates/sassafrasproxy-cli/tests/operator_commands.rs
+++ b/crates/sassafrasproxy-cli/tests/operator_commands.rs
@@ -44,7 +44,7 @@
         if members.iter().all(|member| member["revision"] == revision) {
             return;
         }
-        assert!(Instant::now() < deadline, "never heard from all: {members:?}");
+        assert!(Instant::now() < deadline, "some members report another revision: {members:?}");
         tokio::time::sleep(Duration::from_millis(20)).await;
     }
 }
@@ -139,12 +139,12 @@
     let members = status["members"].as_array().unwrap();
     assert_eq!(members.len(), 2);
     let own = members.iter().find(|member| member["node"] == "vm-0").unwrap();
-    assert_eq!(own["revision"], 1, "its own is known at once: {members:?}");
+    assert_eq!(own["revision"], 1, "a node shows its own revision at once: {members:?}");
     wait_until_all_report_revision(&node, 1).await;
     let (code, list) =
         run_cli_json(&["addresses", "--node", &node, "--failure-domain", "galway-2"]);
     assert_eq!(code, 0);
-    assert_eq!(list["addresses"][0]["failure_domain"], "galway-2", "its own domain first");
+    assert_eq!(list["addresses"][0]["failure_domain"], "galway-2", "the caller's domain first");
     let arguments = ["query", "art-archive", "--node", &node, "--request-id", "ask-1"];
     let (code, answer) = run_cli_json(&arguments);
     assert_eq!((code, answer["coverage"]["fraction"].as_f64()), (0, Some(1.0)));
--- a/crates/sassafrasproxy-cli/tests/request_diagnosis.rs
+++ b/crates/sassafrasproxy-cli/tests/request_diagnosis.rs
@@ -58,7 +58,7 @@
     assert_eq!((&line["last"], &line["may_have_run"]), (&"".into(), &false.into()), "{line}");
 }
 
-/// The metrics count how requests ended, and for what reason.
+/// Checks that the metrics count how requests ended, and for what reason.
 #[tokio::test(flavor = "multi_thread")]
 async fn metrics() {
     let system = Cluster::start(1).await;
--- a/crates/sassafrasproxy-cli/tests/soak_short.rs
+++ b/crates/sassafrasproxy-cli/tests/soak_short.rs
@@ -18,6 +18,6 @@
         println!("seed {seed}: {:?}", report.status_counts);
         assert!(report.violations.is_empty(), "seed {seed}: {:#?}", report.violations);
         let answered = report.status_counts.get(&200).copied().unwrap_or(0);
-        assert!(answered > 0, "seed {seed}: nobody was served: {:?}", report.status_counts);
+        assert!(answered > 0, "seed {seed}: no request was answered: {:?}", report.status_counts);
     }
 }
--- a/crates/sassafrasproxy-cli/tests/support/mod.rs
+++ b/crates/sassafrasproxy-cli/tests/support/mod.rs
@@ -87,7 +87,7 @@
     }
 }
 
-/// The binary under test.
+/// Returns the path of the binary under test.
 pub fn binary() -> &'static Path {
     Path::new(env!("CARGO_BIN_EXE_sassafrasproxy"))
 }
