--- a/crates/sassafrasproxy-soak/src/checker.rs
+++ b/crates/sassafrasproxy-soak/src/checker.rs
@@ -26,7 +26,7 @@
     pub status_counts: IndexMap<u16, usize>,
 }
 
-/// Records what callers observe; clones share one state.
+/// Sends callers' requests and checks their answers; clones share one state.
 #[derive(Clone, Default)]
 pub struct Checker {
     state: Arc<State>,
@@ -37,7 +37,7 @@
     is_stopped: AtomicBool,
     next_request: AtomicU64,
     report: Mutex<CallerReport>,
-    /// The status of each order by attempt id; 0 stands for no answer.
+    /// The status of each order (a non-idempotent request) by attempt id; 0 stands for no answer.
     order_statuses: Mutex<IndexMap<String, u16>>,
     /// Whether all faults are cleared and only planned restarts of gateways happen.
     has_only_planned_restarts: AtomicBool,
--- a/crates/sassafrasproxy-soak/src/cluster.rs
+++ b/crates/sassafrasproxy-soak/src/cluster.rs
@@ -21,9 +21,11 @@
 /// The number of replicas: two of each shard, and two of the single service.
 pub const REPLICA_COUNT: usize = 2 * SHARD_COUNT + 2;
 
-/// The operators' limit on the requests that a failing version of the single service receives: a
-/// share of all requests to the service, plus a fixed number.
+/// The maximum share of the single service's requests that its failing version may receive, beyond
+/// `EXPOSURE_SLACK_REQUESTS`.
 const EXPOSURE_SHARE: f64 = 0.1;
+
+/// The number of requests that the failing version may receive in addition to its share.
 const EXPOSURE_SLACK_REQUESTS: f64 = 50.0;
 
 /// The period in the rollout order of every soak, in seconds.
@@ -60,6 +62,8 @@
 impl Cluster {
     /// Starts the gateways with healthy replicas, waits until all gateways have the configuration,
     /// and orders the rollout of the failing version.
+    ///
+    /// Returns an error if a gateway can't be started or doesn't apply the configuration in time.
     pub async fn start(binary: &Path, gateway_count: usize) -> Result<Self> {
         let replicas = (0..REPLICA_COUNT).map(|index| {
             let service = if index < 2 * SHARD_COUNT {
@@ -159,6 +163,8 @@
     }
 
     /// Applies one fault.
+    ///
+    /// Returns an error if a gateway can't be signalled or restarted.
     pub async fn apply_fault(&mut self, fault: &Fault) -> Result<()> {
         match *fault {
             Fault::Kill(index) => {
@@ -242,6 +248,8 @@
     }
 
     /// Clears every fault.
+    ///
+    /// Returns an error if a gateway can't be resumed.
     pub fn clear_faults(&mut self) -> Result<()> {
         self.store.set_mode(StoreMode::Up);
         for index in 0..REPLICA_COUNT {
--- a/crates/sassafrasproxy-soak/src/lib.rs
+++ b/crates/sassafrasproxy-soak/src/lib.rs
@@ -42,7 +42,7 @@
 
 /// The time that the system gets to recover once all faults are cleared.
 ///
-/// It exceeds the four seconds after which callers give up on a stalled connection.
+/// It exceeds the four seconds after which callers give up on an answer.
 const RECOVERY_TIME: Duration = Duration::from_secs(5);
 
 /// The time for which a replica may still get new requests after it reports that it is draining.
@@ -54,6 +54,8 @@
 const CALLER_COUNT: usize = 6;
 
 /// Prints the fault schedule, applies it to gateways that run `binary`, and returns the results.
+///
+/// Returns an error if a gateway can't be started or signalled, or if a caller's task panics.
 pub async fn run_soak(binary: &Path, settings: SoakSettings) -> Result<SoakReport> {
     let schedule = FaultSchedule::generate(settings);
     println!("{schedule}");
--- a/crates/sassafrasproxy-soak/src/schedule.rs
+++ b/crates/sassafrasproxy-soak/src/schedule.rs
@@ -8,7 +8,7 @@
 
 use crate::SoakSettings;
 
-/// The average number of faults a second.
+/// The average number of faults per second.
 const FAULTS_PER_S: f64 = 2.5;
 
 /// The faults of one soak.
@@ -34,60 +34,78 @@
 pub enum Fault {
     /// A gateway gets SIGKILL and is restarted.
     Kill(usize),
-    /// A gateway is paused or resumed.
+    /// A gateway is paused with SIGSTOP.
     Pause(usize),
+    /// A gateway is resumed with SIGCONT.
     Resume(usize),
     /// A gateway gets SIGTERM and is restarted once it has exited.
     Terminate(usize),
-    /// A gateway gets SIGHUP, which tells it that its settings changed.
+    /// A gateway gets SIGHUP, which makes it reload its settings.
     Hangup(usize),
-    /// A replica answers slowly, fails requests, sheds them, doesn't answer, answers with a wrong
-    /// attempt id, or works normally.
+    /// A replica answers slowly.
     ReplicaSlow(usize),
+    /// A replica fails its requests.
     ReplicaFails(usize),
+    /// A replica sheds its requests.
     ReplicaSheds(usize),
+    /// A replica doesn't answer.
     ReplicaSilent(usize),
+    /// A replica answers with a wrong attempt id.
     ReplicaCrosses(usize),
+    /// A replica works normally again.
     ReplicaSound(usize),
-    /// A replica is registered as draining, deregistered, or registered as ready.
+    /// A replica is registered as draining.
     ReplicaDrains(usize),
+    /// A replica is deregistered.
     ReplicaUnlisted(usize),
+    /// A replica is registered as ready.
     ReplicaListed(usize),
-    /// The path to a replica delays data, drops requests, drops answers, or works normally.
+    /// The path to a replica delays data.
     WayDelays(usize),
+    /// The path to a replica drops requests.
     WayLosesRequests(usize),
+    /// The path to a replica drops answers.
     WayLosesAnswers(usize),
+    /// The path to a replica works normally again.
     WaySound(usize),
-    /// The open connections to a replica are reset, or stall.
+    /// The open connections to a replica are reset.
     WayReset(usize),
+    /// The open connections to a replica stall.
     WaySilenced(usize),
-    /// A gateway's path to the store drops answers, has its open connections stalled, or works
-    /// normally.
+    /// A gateway's path to the store drops answers.
     StoreWayCut(usize),
+    /// A gateway's open connections to the store stall.
     StoreWaySilenced(usize),
+    /// A gateway's path to the store works normally again.
     StoreWaySound(usize),
-    /// The path to a gateway's relay port delays data, drops calls, drops replies, or works
-    /// normally.
+    /// The path to a gateway's relay port delays data.
     RelayWayDelays(usize),
+    /// The path to a gateway's relay port drops relay calls.
     RelayWayLosesAsks(usize),
+    /// The path to a gateway's relay port drops replies.
     RelayWayLosesReplies(usize),
+    /// The path to a gateway's relay port works normally again.
     RelayWaySound(usize),
-    /// The open connections to a gateway's relay port are reset, or stall.
+    /// The open connections to a gateway's relay port are reset.
     RelayWayReset(usize),
+    /// The open connections to a gateway's relay port stall.
     RelayWaySilenced(usize),
     /// A new configuration is published.
     Configure,
-    /// The store refuses calls, doesn't answer, drops the answers to writes, compacts its change
-    /// log, or works normally.
+    /// The store refuses calls.
     StoreRefuses,
+    /// The store doesn't answer.
     StoreSilent,
+    /// The store applies writes but drops their answers.
     StoreLosesAnswers,
+    /// The store compacts its change log.
     StoreForgets,
+    /// The store works normally again.
     StoreSound,
 }
 
 impl FaultSchedule {
-    /// Generates the schedule of the settings' seed.
+    /// Generates the schedule from the seed, duration and gateway count of the settings.
     pub fn generate(settings: SoakSettings) -> Self {
         let mut rng = StdRng::seed_from_u64(settings.seed);
         let end_ms = settings.duration_s * 1_000;
--- a/crates/sassafrasproxy-standin/examples/faults.rs
+++ b/crates/sassafrasproxy-standin/examples/faults.rs
@@ -124,7 +124,8 @@
     Ok(())
 }
 
-/// Replaces the snapshot of all replicas one by one, and measures searches meanwhile.
+/// Adds a new snapshot to the replicas one by one, then removes the old one from each, and measures
+/// searches meanwhile.
 async fn measure_snapshot_rolls(rounds: usize) -> Result<()> {
     let services = small_services(10);
     let cluster = Cluster::start(&cluster_setup(services.clone(), Tuning::default())).await?;
@@ -133,6 +134,7 @@
     let rolls = async {
         let pause = Duration::from_millis(100);
         for round in 0..rounds as u64 {
+            // The replicas start with snapshot 7.
             let (old, new) = (held_snapshot(7 + round), held_snapshot(8 + round));
             for upstream in cluster.upstreams.values().flatten() {
                 upstream.apply_fault(UpstreamFault::Hold(vec![old.clone(), new.clone()]));
@@ -181,7 +183,8 @@
     Ok(())
 }
 
-/// Restarts replicas under load; a cold replica crashes when it runs two requests at once.
+/// Restarts replicas under load, with requests sent through homes and by every node directly; a
+/// cold replica crashes when it runs two requests at once.
 async fn measure_cold_starts(rounds: usize) -> Result<()> {
     let direct_policy = ControlPolicy { bypasses_homes: true, ..ControlPolicy::default() };
     let direct = Tuning { control: direct_policy, ..Tuning::default() };
--- a/crates/sassafrasproxy-standin/examples/load.rs
+++ b/crates/sassafrasproxy-standin/examples/load.rs
@@ -82,7 +82,7 @@
     Ok(report)
 }
 
-/// Prints the number of events of each kind on the timelines of all nodes, without ended queries.
+/// Prints the number of events of each kind on the timelines of all nodes, except `query_ended`.
 async fn print_events(cluster: &Cluster) -> Result<()> {
     let mut counts: IndexMap<EcoString, u64> = IndexMap::new();
     for node in &cluster.nodes {
--- a/crates/sassafrasproxy-standin/examples/slopes.rs
+++ b/crates/sassafrasproxy-standin/examples/slopes.rs
@@ -1,7 +1,7 @@
 //! Measures how state, messages and processor time grow with the size of a cluster, and fits a
 //! line to each.
 //!
-//! Every figure of docs/CAPACITY.md is derived from this table.
+//! Every figure of docs/CAPACITY.md is derived from the output of this example.
 
 use std::collections::VecDeque;
 use std::hint::black_box;
@@ -98,7 +98,7 @@
     Ok(vec![heartbeat_us, heartbeat_bytes, newcomer_bytes, homes_us, memory_kb])
 }
 
-/// Returns a control reducer that knows all members, the configuration and all groups' holdings.
+/// Returns a control reducer that has all members, the configuration and all groups' holdings.
 fn converged_control(members: usize) -> ControlPlane {
     let mut control = ControlPlane::new(&member_update(0), [], policy(), 1, 0);
     for number in 1..members {
@@ -310,12 +310,15 @@
         let intercept = mean_y - gradient * mean_x;
         let sum_residuals_squared =
             self.points.iter().map(|(x, y)| (y - intercept - gradient * x).powi(2)).sum::<f64>();
-        let error = (sum_residuals_squared / (count - 2.0) / sum_dx_dx).sqrt();
+        let standard_error = (sum_residuals_squared / (count - 2.0) / sum_dx_dx).sqrt();
         println!("{} ({})", self.name, self.unit);
         for (x, y) in &self.points {
             println!("  {x:>6.0} {:<8} {y:>12.1}", self.size_unit);
         }
-        println!("  fit: {intercept:.1} + {gradient:.4} +- {error:.4} per {}", self.size_unit);
+        println!(
+            "  fit: {intercept:.1} + {gradient:.4} +- {standard_error:.4} per {}",
+            self.size_unit
+        );
     }
 }
 
@@ -343,7 +346,7 @@
     Configuration { revision: 1, services, domains_out: IndexSet::new() }
 }
 
-/// Returns the view of a node that knows `groups` groups of one shard each.
+/// Returns the view of a node with `groups` groups of one shard each.
 fn node_view(groups: usize) -> View {
     let mut control = ControlPlane::new(&member_update(0), [], policy(), 1, 0);
     control.step(1, ControlEvent::ConfigurationReceived(configuration(groups)));
--- a/crates/sassafrasproxy-standin/src/cluster.rs
+++ b/crates/sassafrasproxy-standin/src/cluster.rs
@@ -59,7 +59,7 @@
     pub mean_service_ms: f64,
     /// The behaviour of replicas after a restart, if they start cold.
     pub cold_start: Option<ColdStart>,
-    /// The share of requests that take far longer, if any do.
+    /// The share of slow requests and their slowdown, if there are any.
     pub stragglers: Option<Stragglers>,
     /// The default deadline of a request, in milliseconds.
     pub deadline_ms: u64,
@@ -146,6 +146,9 @@
 impl Cluster {
     /// Starts the platform, upstreams and nodes, publishes the services, and waits until every node
     /// reports all members, and snapshots for every replica group.
+    ///
+    /// Returns an error if a part can't be started, the services can't be published, or the cluster
+    /// isn't ready after `READY_TIMEOUT`.
     pub async fn start(setup: &ClusterSetup) -> Result<Self> {
         let platform = PlatformStandIn::start(any_loopback_port())?;
         let mut upstreams = IndexMap::new();
@@ -173,6 +176,8 @@
     }
 
     /// Publishes the current `services` and returns their revision.
+    ///
+    /// Returns an error if the platform doesn't accept them.
     pub async fn publish(&self) -> Result<u64> {
         let platform = PlatformClient::new(self.platform.url())?;
         let change = PublishRequest::ReplaceServices {
@@ -187,7 +192,9 @@
         }
     }
 
-    /// Starts another node, whose seed is the first node.
+    /// Starts another node, which joins through the first node, if there is one.
+    ///
+    /// Returns an error if its settings are invalid or it can't be started.
     pub fn add_node(&mut self, number: usize, setup: &ClusterSetup) -> Result<()> {
         let domain = &setup.failure_domains[number % setup.failure_domains.len()];
         let seeds = match self.nodes.first() {
@@ -205,7 +212,7 @@
         Ok(())
     }
 
-    /// Returns the status of a node.
+    /// Returns the status of a node, or an error if it doesn't answer with a valid one.
     pub async fn status(&self, node: usize) -> Result<NodeStatus> {
         let url = format!("http://{}/v1/status", self.nodes[node].address());
         Ok(reqwest::get(url).await?.json().await?)
--- a/crates/sassafrasproxy-standin/src/load.rs
+++ b/crates/sassafrasproxy-standin/src/load.rs
@@ -76,6 +76,8 @@
 /// Sends a load to all nodes in turn and returns the results once all queries have ended.
 ///
 /// A query's latency counts from when it was due, so that a late send counts too.
+///
+/// Panics if the plan's `rate_per_s` is not positive.
 pub async fn run_load(cluster: &Cluster, plan: &LoadPlan) -> LoadReport {
     let runs_before = total_run_count(cluster);
     take_max_running_by_slots(cluster);
--- a/crates/sassafrasproxy-standin/src/platform.rs
+++ b/crates/sassafrasproxy-standin/src/platform.rs
@@ -45,7 +45,8 @@
     pub delay_ms: u64,
     /// The kind of outage, if the platform is unavailable.
     pub outage: Option<Outage>,
-    /// The number of next writes that take effect but whose answers are lost.
+    /// The number of upcoming writes that take effect but are answered with 502, as if the answer
+    /// were lost.
     pub lose_answers: u32,
     /// The maximum number of calls per second; 0 means no limit.
     pub calls_per_s: u32,
@@ -58,7 +59,7 @@
 pub enum Outage {
     /// Calls fail immediately.
     Fail,
-    /// Calls hang.
+    /// Calls hang for `HANG_TIME` before they are served.
     Hang,
 }
 
@@ -93,6 +94,8 @@
 
 impl PlatformStandIn {
     /// Starts on a local address; port 0 takes any free port.
+    ///
+    /// Returns an error if it can't listen on the address.
     pub fn start(address: SocketAddr) -> std::io::Result<Self> {
         let listener = TcpListener::bind(address)?;
         listener.set_nonblocking(true)?;
--- a/crates/sassafrasproxy-standin/src/process.rs
+++ b/crates/sassafrasproxy-standin/src/process.rs
@@ -30,6 +30,8 @@
 
 impl NodeProcess {
     /// Starts the binary with the given settings and waits until the node listens.
+    ///
+    /// Returns an error if the process can't be started or exits without printing its addresses.
     pub fn start(binary: &Path, settings: &str) -> Result<Self> {
         let dir = TempDir::new()?;
         let file = dir.path().join("node.yaml");
@@ -65,7 +67,7 @@
         self.addresses.peer_listen
     }
 
-    /// Kills the process and waits until it has exited.
+    /// Kills the process and waits until it has exited; returns an error if it can't be killed.
     pub fn kill(&mut self) -> Result<()> {
         self.child.kill()?;
         self.child.wait()?;
@@ -106,6 +108,8 @@
 }
 
 /// Runs the binary with arguments and returns its output once it has exited.
+///
+/// Returns an error if the process can't be started.
 pub fn run_command(binary: &Path, args: &[&str]) -> Result<Output> {
     Ok(Command::new(binary).args(args).env("RUST_LOG", "warn").output()?)
 }
--- a/crates/sassafrasproxy-standin/src/upstream/mod.rs
+++ b/crates/sassafrasproxy-standin/src/upstream/mod.rs
@@ -54,7 +54,8 @@
     state: Mutex<State>,
     /// The number of requests that hold a slot.
     running: AtomicU32,
-    /// The maximum of `running` since it was last taken.
+    /// The maximum of `running` since it was last taken; requests that were refused because all
+    /// slots were taken count too.
     max_running: AtomicU32,
     open_connections: AtomicU32,
     /// Ends the connections of the current process incarnation.
@@ -78,6 +79,7 @@
     truncates_answers: bool,
     snapshots: Vec<HeldSnapshot>,
     crash_on_text: Option<EcoString>,
+    /// The started requests by attempt id.
     runs: IndexMap<EcoString, RunRecord>,
     /// The cancellations of running requests by attempt id.
     cancellations: IndexMap<EcoString, Cancellation>,
@@ -89,6 +91,8 @@
 
 impl UpstreamStandIn {
     /// Starts on a local address; port 0 takes any free port.
+    ///
+    /// Returns an error if it can't listen on the address.
     pub fn start(address: SocketAddr, setup: UpstreamSetup) -> std::io::Result<Self> {
         let listener = listen(address)?;
         let address = listener.local_addr()?;
@@ -159,7 +163,7 @@
         self.shared.running.load(Ordering::Relaxed)
     }
 
-    /// Returns how often the process crashed.
+    /// Returns the number of crashes.
     pub fn crash_count(&self) -> u32 {
         self.shared.lock().crash_count
     }
--- a/crates/sassafrasproxy-standin/src/upstream/setup.rs
+++ b/crates/sassafrasproxy-standin/src/upstream/setup.rs
@@ -19,7 +19,7 @@
     pub mean_service_ms: f64,
     /// The behaviour after a restart, if the upstream starts cold.
     pub cold_start: Option<ColdStart>,
-    /// The share of requests that take far longer, if any do.
+    /// The share of slow requests and their slowdown, if there are any.
     pub stragglers: Option<Stragglers>,
     /// The snapshots that the upstream holds.
     pub snapshots: Vec<HeldSnapshot>,
