--- a/crates/sassafrasproxy-soak/src/cluster.rs
+++ b/crates/sassafrasproxy-soak/src/cluster.rs
@@ -263,6 +263,8 @@
     }
 
     /// Restarts each gateway in turn, as an update does.
+    ///
+    /// Returns an error if a gateway can't be restarted or doesn't apply the configuration in time.
     pub async fn rolling_restart(&mut self) -> Result<()> {
         for index in 0..self.gateways.len() {
             self.apply_fault(&Fault::Terminate(index)).await?;
--- a/crates/sassafrasproxy-soak/src/schedule.rs
+++ b/crates/sassafrasproxy-soak/src/schedule.rs
@@ -96,9 +96,9 @@
     StoreRefuses,
     /// The store doesn't answer.
     StoreSilent,
-    /// The store applies writes but drops their answers.
+    /// The store applies requests but answers neither writes nor watches.
     StoreLosesAnswers,
-    /// The store compacts its change log.
+    /// The store discards its history, so watches from earlier revisions must list again.
     StoreForgets,
     /// The store works normally again.
     StoreSound,
