--- a/crates/sassafrasproxy-cli/tests/gateway_crashes.rs
+++ b/crates/sassafrasproxy-cli/tests/gateway_crashes.rs
@@ -1,4 +1,4 @@
-//! Requests that crash the replicas that run them.
+//! Tests requests that crash the replicas that run them.
 
 #![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 
@@ -17,26 +17,26 @@
 /// service are served as soon as the replicas are back.
 #[tokio::test(flavor = "multi_thread")]
 async fn crashing_request_is_quarantined() {
-    let system = Cluster::start(3).await;
+    let cluster = Cluster::start(3).await;
     let runs = || {
-        ["da", "db"].iter().map(|id| system.replica(id).started_attempt_ids().len()).sum::<usize>()
+        ["da", "db"].iter().map(|id| cluster.replica(id).started_attempt_ids().len()).sum::<usize>()
     };
     let before = runs();
     for attempt in 0..15 {
         for id in ["da", "db"] {
-            system.replica(id).set_mode(ReplicaMode::Crashing);
+            cluster.replica(id).set_mode(ReplicaMode::Crashing);
         }
-        let answer = system.ask(attempt % 3, "/desk/poison").await;
+        let answer = cluster.ask(attempt % 3, "/desk/poison").await;
         assert_ne!(answer.status, 200);
         tokio::time::sleep(Duration::from_millis(300)).await;
     }
     let crashes = runs() - before;
     assert!(crashes <= 4, "{crashes} runs of the request");
     for id in ["da", "db"] {
-        system.replica(id).set_mode(ReplicaMode::Answering(0));
+        cluster.replica(id).set_mode(ReplicaMode::Answering(0));
     }
     for gateway in 0..3 {
-        system.ask_until(gateway, "/desk/7", |answer| answer.status == 200).await;
-        assert_eq!(system.ask(gateway, "/desk/poison").await.status, 503);
+        cluster.ask_until(gateway, "/desk/7", |answer| answer.status == 200).await;
+        assert_eq!(cluster.ask(gateway, "/desk/poison").await.status, 503);
     }
 }
--- a/crates/sassafrasproxy-cli/tests/gateway_relays.rs
+++ b/crates/sassafrasproxy-cli/tests/gateway_relays.rs
@@ -1,4 +1,4 @@
-//! Queries whose replicas are in another failure domain and are reached through a relay there.
+//! Tests queries whose replicas are in another failure domain and are reached through a relay there.
 
 #![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 
@@ -13,17 +13,17 @@
 
 /// Starts two gateways in two failure domains, with replicas only in the domain of the second.
 async fn start_two_domains() -> Cluster {
-    let system = Cluster::start(2).await;
+    let cluster = Cluster::start(2).await;
     for shard in 0..SHARD_COUNT {
-        system.store.deregister_replica(&format!("s{shard}a"));
+        cluster.store.deregister_replica(&format!("s{shard}a"));
     }
-    system.ask_until(0, "/all/7", is_complete_answer).await;
+    cluster.ask_until(0, "/all/7", is_complete_answer).await;
     let end = Instant::now() + WAIT_TIMEOUT;
-    while relayed_sends(&system).await == 0 {
+    while relayed_sends(&cluster).await == 0 {
         assert!(Instant::now() < end, "nothing was relayed");
-        system.ask_until(0, "/all/7", is_complete_answer).await;
+        cluster.ask_until(0, "/all/7", is_complete_answer).await;
     }
-    system
+    cluster
 }
 
 /// Whether an answer has the top records of all shards.
@@ -37,28 +37,28 @@
 }
 
 /// Returns the number of sends that the second gateway made for others.
-async fn relayed_sends(system: &Cluster) -> u64 {
-    system.relayed_send_count(1).await
+async fn relayed_sends(cluster: &Cluster) -> u64 {
+    cluster.relayed_send_count(1).await
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn relay_merges_parts() {
-    let system = start_two_domains().await;
-    let before = relayed_sends(&system).await;
+    let cluster = start_two_domains().await;
+    let before = relayed_sends(&cluster).await;
     for _ in 0..10 {
-        let answer = system.ask(0, "/all/7").await;
+        let answer = cluster.ask(0, "/all/7").await;
         assert!(is_complete_answer(&answer), "{answer:?}");
     }
-    assert!(relayed_sends(&system).await >= before + 10 * SHARD_COUNT as u64);
+    assert!(relayed_sends(&cluster).await >= before + 10 * SHARD_COUNT as u64);
 }
 
 /// Guards against one failed relayed part that invalidates the others or is not reported as missing.
 #[tokio::test(flavor = "multi_thread")]
 async fn failed_part_is_reported() {
-    let system = start_two_domains().await;
+    let cluster = start_two_domains().await;
     for mode in [ReplicaMode::Failing, ReplicaMode::Shedding, ReplicaMode::WrongAttemptId] {
-        system.replica("s1b").set_mode(mode.clone());
-        let answer = system.ask(0, "/all/7").await;
+        cluster.replica("s1b").set_mode(mode.clone());
+        let answer = cluster.ask(0, "/all/7").await;
         assert_eq!(answer.status, 200, "{mode:?}");
         assert_eq!(answer.missing_shard_count(), Some(1), "{mode:?}");
     }
@@ -69,12 +69,12 @@
 /// The gateway that the caller asked must then send to the replicas directly.
 #[tokio::test(flavor = "multi_thread")]
 async fn killed_relay_is_bypassed() {
-    let system = start_two_domains().await;
-    system.gateways[1].signal(Signal::SIGKILL).unwrap();
-    system.ask_until(0, "/all/7", is_complete_answer).await;
+    let cluster = start_two_domains().await;
+    cluster.gateways[1].signal(Signal::SIGKILL).unwrap();
+    cluster.ask_until(0, "/all/7", is_complete_answer).await;
     for _ in 0..5 {
-        let answer = system.ask(0, "/all/7").await;
-        let lines = system.gateways[0].log_lines();
+        let answer = cluster.ask(0, "/all/7").await;
+        let lines = cluster.gateways[0].log_lines();
         assert!(
             is_complete_answer(&answer),
             "{answer:?}; log {:#?}",
@@ -89,24 +89,24 @@
 /// answers are complete again.
 #[tokio::test(flavor = "multi_thread")]
 async fn paused_relay_is_bypassed() {
-    let system = start_two_domains().await;
-    system.gateways[1].signal(Signal::SIGSTOP).unwrap();
-    system.ask_until(0, "/all/7", is_complete_answer).await;
-    system.gateways[1].signal(Signal::SIGCONT).unwrap();
-    system.ask_until(0, "/all/7", is_complete_answer).await;
+    let cluster = start_two_domains().await;
+    cluster.gateways[1].signal(Signal::SIGSTOP).unwrap();
+    cluster.ask_until(0, "/all/7", is_complete_answer).await;
+    cluster.gateways[1].signal(Signal::SIGCONT).unwrap();
+    cluster.ask_until(0, "/all/7", is_complete_answer).await;
 }
 
 /// Guards against replicas that keep working for a relay after the caller has disconnected.
 #[tokio::test(flavor = "multi_thread")]
 async fn caller_disconnect_cancels_relay() {
-    let system = start_two_domains().await;
-    system.replica("s1b").set_mode(ReplicaMode::Unresponsive);
+    let cluster = start_two_domains().await;
+    cluster.replica("s1b").set_mode(ReplicaMode::Unresponsive);
     let attempt = unique_attempt_id();
-    let asked = send_get(system.gateways[0].callers_address(), HOST, "/all/7", &attempt, 20_000);
+    let request = send_get(cluster.gateways[0].callers_address(), HOST, "/all/7", &attempt, 20_000);
     // At the latency goal of 400 ms, the answer would come without that shard.
-    assert!(tokio::time::timeout(Duration::from_millis(200), asked).await.is_err());
+    assert!(tokio::time::timeout(Duration::from_millis(200), request).await.is_err());
     let end = Instant::now() + WAIT_TIMEOUT;
-    while system.replica("s1b").cancelled_count() == 0 {
+    while cluster.replica("s1b").cancelled_count() == 0 {
         assert!(Instant::now() < end, "a replica still works for a caller that disconnected");
         tokio::time::sleep(Duration::from_millis(10)).await;
     }
--- a/crates/sassafrasproxy-cli/tests/gateway_rollouts.rs
+++ b/crates/sassafrasproxy-cli/tests/gateway_rollouts.rs
@@ -24,24 +24,24 @@
 
 /// Starts two gateways, and two unregistered replicas of `desk` with a new version.
 async fn start_with_new_version() -> Cluster {
-    let mut system = Cluster::start(0).await;
+    let mut cluster = Cluster::start(0).await;
     let rollouts = [("rollouts", json!({ "exposure_share": 0.1, "exposure_slack": 50 }))];
     for _ in 0..2 {
-        system.add_gateway_with_settings(&rollouts);
+        cluster.add_gateway_with_settings(&rollouts);
     }
     for copy in ["a", "b"] {
         let replica = ReplicaStandIn::start(&format!("n{copy}"), "desk", "found anew");
-        system.replicas.push(replica.with_version("v2"));
+        cluster.replicas.push(replica.with_version("v2"));
     }
     for index in 0..2 {
-        system.ask_until(index, "/desk/1", |answer| answer.status == 200).await;
+        cluster.ask_until(index, "/desk/1", |answer| answer.status == 200).await;
     }
-    system
+    cluster
 }
 
-fn register_new_version(system: &Cluster) {
+fn register_new_version(cluster: &Cluster) {
     for (id, domain) in [("na", "west"), ("nb", "east")] {
-        system.replica(id).register(&system.store, domain, "ready");
+        cluster.replica(id).register(&cluster.store, domain, "ready");
     }
 }
 
@@ -55,9 +55,9 @@
 }
 
 /// Sends requests to the gateways in turn until the rollout reaches a state, and for another 500 ms.
-async fn ask_until_state(system: &Cluster, state: &str) -> CallerResults {
+async fn ask_until_state(cluster: &Cluster, state: &str) -> CallerResults {
     let results = Arc::new(CallerResults::default());
-    let callers: Vec<_> = system.gateways.iter().map(GatewayProcess::callers_address).collect();
+    let callers: Vec<_> = cluster.gateways.iter().map(GatewayProcess::callers_address).collect();
     let task_results = results.clone();
     let task = tokio::spawn(async move {
         for index in (0..callers.len()).cycle() {
@@ -76,17 +76,17 @@
     });
     let end = Instant::now() + WAIT_TIMEOUT;
     let wanted = Some((state.to_owned(), "v2".to_owned()));
-    while system.store.rollout_status("desk") != wanted {
-        let status = system.store.rollout_status("desk");
-        let lines = system.gateways[0].log_lines();
+    while cluster.store.rollout_status("desk") != wanted {
+        let status = cluster.store.rollout_status("desk");
+        let lines = cluster.gateways[0].log_lines();
         assert!(Instant::now() < end, "the rollout is not {state}, but {status:?}; log {lines:#?}");
         tokio::time::sleep(REQUEST_INTERVAL).await;
     }
     if state == "completed" {
         // The platform stops the old replicas at once.
         for id in ["da", "db"] {
-            system.replica(id).set_mode(ReplicaMode::Failing);
-            system.store.deregister_replica(id);
+            cluster.replica(id).set_mode(ReplicaMode::Failing);
+            cluster.store.deregister_replica(id);
         }
     }
     tokio::time::sleep(Duration::from_millis(500)).await;
@@ -95,25 +95,25 @@
     Arc::into_inner(results).unwrap()
 }
 
-fn run_count(system: &Cluster, ids: [&str; 2]) -> usize {
-    ids.iter().map(|id| system.replica(id).started_attempt_ids().len()).sum()
+fn run_count(cluster: &Cluster, ids: [&str; 2]) -> usize {
+    ids.iter().map(|id| cluster.replica(id).started_attempt_ids().len()).sum()
 }
 
 /// Guards against failed requests during the rollout of a good version, and against use of the old
 /// version after it has completed.
 #[tokio::test(flavor = "multi_thread")]
 async fn good_version_completes() {
-    let system = start_with_new_version().await;
-    register_new_version(&system);
-    system.store.order_rollout("desk", "v2", PERIOD_S);
-    let results = ask_until_state(&system, "completed").await;
+    let cluster = start_with_new_version().await;
+    register_new_version(&cluster);
+    cluster.store.order_rollout("desk", "v2", PERIOD_S);
+    let results = ask_until_state(&cluster, "completed").await;
     assert_eq!(results.failure_count.into_inner(), 0, "{:?}", results.failures);
-    let before = run_count(&system, ["da", "db"]);
+    let before = run_count(&cluster, ["da", "db"]);
     for index in 0..2 {
-        let answer = system.ask(index, "/desk/7").await;
+        let answer = cluster.ask(index, "/desk/7").await;
         assert_eq!(&answer.body[..], b"found anew");
     }
-    assert_eq!(run_count(&system, ["da", "db"]), before, "the old version still gets requests");
+    assert_eq!(run_count(&cluster, ["da", "db"]), before, "the old version still gets requests");
 }
 
 /// Guards against a version that fails every second request.
@@ -122,76 +122,76 @@
 /// version, and the rollout must be rolled back.
 #[tokio::test(flavor = "multi_thread")]
 async fn bad_version_rolls_back() {
-    let system = start_with_new_version().await;
+    let cluster = start_with_new_version().await;
     for id in ["na", "nb"] {
-        system.replica(id).set_mode(ReplicaMode::FailingEveryNth(2));
+        cluster.replica(id).set_mode(ReplicaMode::FailingEveryNth(2));
     }
-    register_new_version(&system);
-    system.store.order_rollout("desk", "v2", PERIOD_S);
-    let results = ask_until_state(&system, "rolled_back").await;
+    register_new_version(&cluster);
+    cluster.store.order_rollout("desk", "v2", PERIOD_S);
+    let results = ask_until_state(&cluster, "rolled_back").await;
     assert_eq!(results.failure_count.into_inner(), 0, "{:?}", results.failures);
-    let exposed = run_count(&system, ["na", "nb"]) as f64;
+    let exposed = run_count(&cluster, ["na", "nb"]) as f64;
     assert!(exposed <= 50.0 + 0.1 * results.request_count.into_inner() as f64, "{exposed}");
-    let before = run_count(&system, ["na", "nb"]);
+    let before = run_count(&cluster, ["na", "nb"]);
     for index in 0..2 {
-        system.ask(index, "/desk/7").await;
+        cluster.ask(index, "/desk/7").await;
     }
-    assert_eq!(run_count(&system, ["na", "nb"]), before, "the bad version still gets requests");
+    assert_eq!(run_count(&cluster, ["na", "nb"]), before, "the bad version still gets requests");
 }
 
 /// Guards against requests to replicas of a version without a rollout order.
 #[tokio::test(flavor = "multi_thread")]
 async fn version_without_order_gets_no_work() {
-    let system = start_with_new_version().await;
-    register_new_version(&system);
-    system.gateways[0].wait_for_log_line("a replica is listed").unwrap();
+    let cluster = start_with_new_version().await;
+    register_new_version(&cluster);
+    cluster.gateways[0].wait_for_log_line("a replica is listed").unwrap();
     for _ in 0..20 {
         for index in 0..2 {
-            assert_eq!(system.ask(index, "/desk/7").await.status, 200);
+            assert_eq!(cluster.ask(index, "/desk/7").await.status, 200);
         }
     }
-    assert_eq!(run_count(&system, ["na", "nb"]), 0);
+    assert_eq!(run_count(&cluster, ["na", "nb"]), 0);
 }
 
 /// Guards against excess exposure when the store stops answering during the trial of a bad version.
 #[tokio::test(flavor = "multi_thread")]
 async fn store_outage_limits_exposure() {
-    let system = start_with_new_version().await;
-    register_new_version(&system);
-    system.store.order_rollout("desk", "v2", PERIOD_S);
+    let cluster = start_with_new_version().await;
+    register_new_version(&cluster);
+    cluster.store.order_rollout("desk", "v2", PERIOD_S);
     let end = Instant::now() + WAIT_TIMEOUT;
-    while run_count(&system, ["na", "nb"]) == 0 {
+    while run_count(&cluster, ["na", "nb"]) == 0 {
         assert!(Instant::now() < end, "the trial did not start");
-        system.ask(0, "/desk/7").await;
+        cluster.ask(0, "/desk/7").await;
     }
-    system.store.set_mode(StoreMode::Refusing(503));
+    cluster.store.set_mode(StoreMode::Refusing(503));
     for id in ["na", "nb"] {
-        system.replica(id).set_mode(ReplicaMode::Failing);
+        cluster.replica(id).set_mode(ReplicaMode::Failing);
     }
     // No status can be written now, but callers must still be served.
     for _ in 0..200 {
         for index in 0..2 {
-            assert_eq!(system.ask(index, "/desk/7").await.status, 200);
+            assert_eq!(cluster.ask(index, "/desk/7").await.status, 200);
         }
     }
-    system.store.set_mode(StoreMode::Up);
-    ask_until_state(&system, "rolled_back").await;
-    assert!(run_count(&system, ["na", "nb"]) <= 50);
+    cluster.store.set_mode(StoreMode::Up);
+    ask_until_state(&cluster, "rolled_back").await;
+    assert!(run_count(&cluster, ["na", "nb"]) <= 50);
 }
 
 /// Guards against a trial that does not end after one of the two gateways has crashed.
 #[tokio::test(flavor = "multi_thread")]
 async fn trial_survives_killed_node() {
-    let mut system = start_with_new_version().await;
+    let mut cluster = start_with_new_version().await;
     for id in ["na", "nb"] {
-        system.replica(id).set_mode(ReplicaMode::FailingEveryNth(3));
+        cluster.replica(id).set_mode(ReplicaMode::FailingEveryNth(3));
     }
-    register_new_version(&system);
-    system.store.order_rollout("desk", "v2", PERIOD_S);
-    system.gateways[0].wait_for_log_line("a rollout record has a new phase").unwrap();
-    let killed = system.gateways.remove(1);
+    register_new_version(&cluster);
+    cluster.store.order_rollout("desk", "v2", PERIOD_S);
+    cluster.gateways[0].wait_for_log_line("a rollout record has a new phase").unwrap();
+    let killed = cluster.gateways.remove(1);
     killed.signal(Signal::SIGKILL).unwrap();
-    let results = ask_until_state(&system, "rolled_back").await;
+    let results = ask_until_state(&cluster, "rolled_back").await;
     assert_eq!(results.failure_count.into_inner(), 0, "{:?}", results.failures);
 }
 
@@ -199,15 +199,15 @@
 /// service and of one that is cancelled.
 #[tokio::test(flavor = "multi_thread")]
 async fn bad_orders_change_nothing() {
-    let system = start_with_new_version().await;
-    register_new_version(&system);
-    system.store.corrupt_rollout_order("desk", br#"{"service":"desk","target_version":2}"#);
-    system.gateways[0].wait_for_log_line("ignored a store item that cannot be decoded").unwrap();
-    assert_eq!(system.store.rollout_status("desk"), None);
-    system.store.order_rollout("nowhere", "v2", PERIOD_S);
+    let cluster = start_with_new_version().await;
+    register_new_version(&cluster);
+    cluster.store.corrupt_rollout_order("desk", br#"{"service":"desk","target_version":2}"#);
+    cluster.gateways[0].wait_for_log_line("ignored a store item that cannot be decoded").unwrap();
+    assert_eq!(cluster.store.rollout_status("desk"), None);
+    cluster.store.order_rollout("nowhere", "v2", PERIOD_S);
     let end = Instant::now() + WAIT_TIMEOUT;
     let unknown = "a rollout order names an unknown service";
-    while !system
+    while !cluster
         .gateways
         .iter()
         .any(|gateway| gateway.log_lines().iter().any(|line| line["message"] == unknown))
@@ -215,9 +215,9 @@
         assert!(Instant::now() < end, "no gateway logged that the service is unknown");
         tokio::time::sleep(REQUEST_INTERVAL).await;
     }
-    system.store.order_rollout("desk", "v2", 3_600.0);
-    system.gateways[0].wait_for_log_line("a rollout record has a new phase").unwrap();
-    system.store.cancel_rollout("desk");
-    ask_until_state(&system, "rolled_back").await;
-    assert_eq!(&system.ask(0, "/desk/7").await.body[..], b"found");
+    cluster.store.order_rollout("desk", "v2", 3_600.0);
+    cluster.gateways[0].wait_for_log_line("a rollout record has a new phase").unwrap();
+    cluster.store.cancel_rollout("desk");
+    ask_until_state(&cluster, "rolled_back").await;
+    assert_eq!(&cluster.ask(0, "/desk/7").await.body[..], b"found");
 }
--- a/crates/sassafrasproxy-cli/tests/gateway_store.rs
+++ b/crates/sassafrasproxy-cli/tests/gateway_store.rs
@@ -16,8 +16,8 @@
 use crate::gateway::{Cluster, WAIT_TIMEOUT, route, routes};
 
 /// Returns the addresses that a gateway's directory lists.
-async fn listed_addresses(system: &Cluster, gateway: usize) -> Vec<String> {
-    query_directory(system.gateways[gateway].directory_address(), "west").await.unwrap().addresses
+async fn listed_addresses(cluster: &Cluster, gateway: usize) -> Vec<String> {
+    query_directory(cluster.gateways[gateway].directory_address(), "west").await.unwrap().addresses
 }
 
 fn routes_with(name: &str) -> Vec<DeclaredRoute> {
@@ -35,37 +35,37 @@
 /// recovery.
 #[tokio::test(flavor = "multi_thread")]
 async fn serves_during_store_outages() {
-    let mut system = Cluster::start(1).await;
+    let mut cluster = Cluster::start(1).await;
     for (index, mode) in
         [StoreMode::Refusing(503), StoreMode::Refusing(429), StoreMode::Unresponsive]
             .into_iter()
             .enumerate()
     {
-        system.store.set_mode(mode);
+        cluster.store.set_mode(mode);
         let name = format!("new{index}");
-        system.publish(&routes_with(&name));
-        system.store.compact();
+        cluster.publish(&routes_with(&name));
+        cluster.store.compact();
         for _ in 0..20 {
-            assert_eq!(system.ask(0, "/desk/7").await.status, 200, "{mode:?}");
-            assert_eq!(system.ask(0, "/all/7").await.status, 200, "{mode:?}");
+            assert_eq!(cluster.ask(0, "/desk/7").await.status, 200, "{mode:?}");
+            assert_eq!(cluster.ask(0, "/all/7").await.status, 200, "{mode:?}");
             tokio::time::sleep(Duration::from_millis(20)).await;
         }
-        system.store.set_mode(StoreMode::Up);
-        system.ask_until(0, &format!("/{name}/7"), |answer| answer.status == 200).await;
+        cluster.store.set_mode(StoreMode::Up);
+        cluster.ask_until(0, &format!("/{name}/7"), |answer| answer.status == 200).await;
     }
 }
 
 /// Guards against a list that stops at a foreign or malformed item, or after its first page.
 #[tokio::test(flavor = "multi_thread")]
 async fn paged_list_skips_foreign_items() {
-    let mut system = Cluster::start(0).await;
-    system.store.corrupt_replica_entry("forged", b"\xff\xfe");
-    system.store.corrupt_replica_entry("half", br#"{"service":"desk"}"#);
-    system.store.put("somebody/else", b"x");
-    system.store.set_page_size(3);
-    let index = system.add_gateway();
-    system.ask_until(index, "/all/7", |answer| answer.status == 200).await;
-    assert_eq!(system.ask(index, "/desk/7").await.status, 200);
+    let mut cluster = Cluster::start(0).await;
+    cluster.store.corrupt_replica_entry("forged", b"\xff\xfe");
+    cluster.store.corrupt_replica_entry("half", br#"{"service":"desk"}"#);
+    cluster.store.put("somebody/else", b"x");
+    cluster.store.set_page_size(3);
+    let index = cluster.add_gateway();
+    cluster.ask_until(index, "/all/7", |answer| answer.status == 200).await;
+    assert_eq!(cluster.ask(index, "/desk/7").await.status, 200);
 }
 
 /// Guards against a node that cannot serve because the store refuses its calls from the start.
@@ -73,12 +73,12 @@
 /// It must get the configuration and the replicas from a peer.
 #[tokio::test(flavor = "multi_thread")]
 async fn reads_entries_from_peers() {
-    let mut system = Cluster::start(1).await;
-    system.store.set_mode(StoreMode::Refusing(503));
-    let index = system.add_gateway();
-    system.ask_until(index, "/all/7", |answer| answer.status == 200).await;
-    assert_eq!(system.ask(index, "/desk/7").await.status, 200);
-    system.gateways[index].wait_for_log_line("pulled registry entries from a peer").unwrap();
+    let mut cluster = Cluster::start(1).await;
+    cluster.store.set_mode(StoreMode::Refusing(503));
+    let index = cluster.add_gateway();
+    cluster.ask_until(index, "/all/7", |answer| answer.status == 200).await;
+    assert_eq!(cluster.ask(index, "/desk/7").await.status, 200);
+    cluster.gateways[index].wait_for_log_line("pulled registry entries from a peer").unwrap();
 }
 
 /// Guards against a bootstrap across failure domains.
@@ -87,33 +87,33 @@
 /// no larger VM must read the store.
 #[tokio::test(flavor = "multi_thread")]
 async fn small_node_starts_from_peer() {
-    let mut system = Cluster::start(2).await;
-    let small = system.add_gateway_with_cpu("west", 0.1);
+    let mut cluster = Cluster::start(2).await;
+    let small = cluster.add_gateway_with_cpu("west", 0.1);
     // No request yet: one that arrives before the bootstrap makes the node read the store.
-    let from_peer = system.gateways[small].wait_for_log_line("bootstrapped from a peer").unwrap();
-    system.ask_until(small, "/all/7", |answer| answer.status == 200).await;
-    assert_eq!(from_peer["peer"], system.gateways[0].peers_address().to_string());
-    let alone = system.add_gateway_with_cpu("north", 0.1);
-    system.ask_until(alone, "/all/7", |answer| answer.status == 200).await;
-    let lines = system.gateways[alone].log_lines();
+    let from_peer = cluster.gateways[small].wait_for_log_line("bootstrapped from a peer").unwrap();
+    cluster.ask_until(small, "/all/7", |answer| answer.status == 200).await;
+    assert_eq!(from_peer["peer"], cluster.gateways[0].peers_address().to_string());
+    let alone = cluster.add_gateway_with_cpu("north", 0.1);
+    cluster.ask_until(alone, "/all/7", |answer| answer.status == 200).await;
+    let lines = cluster.gateways[alone].log_lines();
     assert!(lines.iter().all(|line| line["message"] != "bootstrapped from a peer"));
     // Later changes must reach both nodes.
-    system.publish(&routes_with("later"));
+    cluster.publish(&routes_with("later"));
     for index in [small, alone] {
-        system.ask_until(index, "/later/7", |answer| answer.status == 200).await;
+        cluster.ask_until(index, "/later/7", |answer| answer.status == 200).await;
     }
 }
 
 /// Guards against refused callers after all VMs have lost power and a small one restarts first.
 ///
-/// It knows no peers, so its directory lists the node itself and callers ask it. It must then read
+/// It has no peers yet, so its directory lists the node itself and callers ask it. It must then read
 /// the store at once instead of waiting for a larger peer.
 #[tokio::test(flavor = "multi_thread")]
 async fn small_node_reads_store_when_asked() {
-    let mut system = Cluster::start(0).await;
-    let small = system.add_gateway_with_cpu("west", 0.1);
-    system.ask_until(small, "/all/7", |answer| answer.status == 200).await;
-    system.gateways[small].wait_for_log_line("a caller asks before the store was read").unwrap();
+    let mut cluster = Cluster::start(0).await;
+    let small = cluster.add_gateway_with_cpu("west", 0.1);
+    cluster.ask_until(small, "/all/7", |answer| answer.status == 200).await;
+    cluster.gateways[small].wait_for_log_line("a caller asks before the store was read").unwrap();
 }
 
 /// Guards against a node that stays unregistered after the store's answers to its writes were lost.
@@ -121,13 +121,13 @@
 /// The node must register again, and the directory of another node must list it.
 #[tokio::test(flavor = "multi_thread")]
 async fn registers_after_lost_answers() {
-    let mut system = Cluster::start(1).await;
-    system.store.set_mode(StoreMode::DroppingWriteAnswers);
-    let index = system.add_gateway();
-    system.store.set_mode(StoreMode::Up);
-    let address = system.gateways[index].callers_address().to_string();
+    let mut cluster = Cluster::start(1).await;
+    cluster.store.set_mode(StoreMode::DroppingWriteAnswers);
+    let index = cluster.add_gateway();
+    cluster.store.set_mode(StoreMode::Up);
+    let address = cluster.gateways[index].callers_address().to_string();
     let end = Instant::now() + WAIT_TIMEOUT;
-    while !listed_addresses(&system, 0).await.contains(&address) {
+    while !listed_addresses(&cluster, 0).await.contains(&address) {
         assert!(Instant::now() < end, "the directory never listed the new node");
         tokio::time::sleep(Duration::from_millis(50)).await;
     }
@@ -138,20 +138,20 @@
 /// The directory must still list it, and it must register again.
 #[tokio::test(flavor = "multi_thread")]
 async fn registers_after_revocation() {
-    let system = Cluster::start(2).await;
+    let cluster = Cluster::start(2).await;
     let has_both = |addresses: Vec<String>| addresses.len() == 2;
     let end = Instant::now() + WAIT_TIMEOUT;
-    while !has_both(listed_addresses(&system, 0).await) {
+    while !has_both(listed_addresses(&cluster, 0).await) {
         assert!(Instant::now() < end, "the directory never listed both nodes");
         tokio::time::sleep(Duration::from_millis(50)).await;
     }
-    for key in system.store.keys("sassafrasproxy/nodes/") {
-        system.store.remove(&key);
+    for key in cluster.store.keys("sassafrasproxy/nodes/") {
+        cluster.store.remove(&key);
     }
     let end = Instant::now() + WAIT_TIMEOUT;
-    while system.store.keys("sassafrasproxy/nodes/").len() < 2 {
+    while cluster.store.keys("sassafrasproxy/nodes/").len() < 2 {
         assert!(
-            has_both(listed_addresses(&system, 1).await),
+            has_both(listed_addresses(&cluster, 1).await),
             "the directory no longer lists a live node"
         );
         assert!(Instant::now() < end, "a node did not register again");
@@ -162,23 +162,23 @@
 /// Guards against new work for a replica that drains or whose entry was removed.
 #[tokio::test(flavor = "multi_thread")]
 async fn departed_replica_gets_no_work() {
-    let system = Cluster::start(1).await;
-    system.replica("da").register(&system.store, "west", "draining");
+    let cluster = Cluster::start(1).await;
+    cluster.replica("da").register(&cluster.store, "west", "draining");
     let answered_by =
         |id: &'static str| move |answer: &CallerAnswer| answer.stamp().starts_with(id);
     tokio::time::sleep(Duration::from_millis(600)).await;
-    let before = system.replica("da").received_requests().len();
+    let before = cluster.replica("da").received_requests().len();
     for _ in 0..20 {
-        assert!(answered_by("db")(&system.ask(0, "/desk/7").await));
+        assert!(answered_by("db")(&cluster.ask(0, "/desk/7").await));
     }
     assert_eq!(
-        system.replica("da").received_requests().len(),
+        cluster.replica("da").received_requests().len(),
         before,
         "new work for a replica that has left"
     );
-    system.replica("da").register(&system.store, "west", "ready");
-    system.store.deregister_replica("db");
-    system.ask_until(0, "/desk/7", answered_by("da")).await;
+    cluster.replica("da").register(&cluster.store, "west", "ready");
+    cluster.store.deregister_replica("db");
+    cluster.ask_until(0, "/desk/7", answered_by("da")).await;
 }
 
 /// Guards against requests to a failure domain that is out of service.
@@ -186,14 +186,14 @@
 /// It must get requests again once it is brought back.
 #[tokio::test(flavor = "multi_thread")]
 async fn domain_out_gets_no_work() {
-    let system = Cluster::start(1).await;
-    system.store.take_domain_out("west");
-    system.ask_until(0, "/desk/7", |answer| answer.stamp().starts_with("db")).await;
-    system.store.take_domain_out("east");
-    let answer = system.ask_until(0, "/desk/7", |answer| answer.status == 503).await;
+    let cluster = Cluster::start(1).await;
+    cluster.store.take_domain_out("west");
+    cluster.ask_until(0, "/desk/7", |answer| answer.stamp().starts_with("db")).await;
+    cluster.store.take_domain_out("east");
+    let answer = cluster.ask_until(0, "/desk/7", |answer| answer.status == 503).await;
     assert!(answer.retry_after_s() > 0.0);
-    system.store.bring_domain_in("west");
-    system.ask_until(0, "/desk/7", |answer| answer.stamp().starts_with("da")).await;
+    cluster.store.bring_domain_in("west");
+    cluster.ask_until(0, "/desk/7", |answer| answer.stamp().starts_with("da")).await;
 }
 
 /// Guards against changes that do not reach the nodes that sync from a peer.
@@ -202,48 +202,48 @@
 /// of service must reach all of them.
 #[tokio::test(flavor = "multi_thread")]
 async fn followers_receive_changes() {
-    let mut system = Cluster::start(11).await;
-    let is_follower = |system: &Cluster, index: usize| {
-        let lines = system.gateways[index].log_lines();
+    let mut cluster = Cluster::start(11).await;
+    let is_follower = |cluster: &Cluster, index: usize| {
+        let lines = cluster.gateways[index].log_lines();
         lines.iter().any(|line| line["message"] == "syncing from a peer")
     };
     let end = Instant::now() + WAIT_TIMEOUT;
-    while (0..11).filter(|index| is_follower(&system, *index)).count() < 3 {
+    while (0..11).filter(|index| is_follower(&cluster, *index)).count() < 3 {
         assert!(Instant::now() < end, "no gateway follows a peer");
         tokio::time::sleep(Duration::from_millis(100)).await;
     }
-    system.publish(&routes_with("late"));
-    system.store.take_domain_out("west");
+    cluster.publish(&routes_with("late"));
+    cluster.store.take_domain_out("west");
     for index in 0..11 {
-        system.ask_until(index, "/late/7", |answer| answer.status == 200).await;
+        cluster.ask_until(index, "/late/7", |answer| answer.status == 200).await;
         let is_east = |answer: &CallerAnswer| answer.stamp().starts_with("db");
-        system.ask_until(index, "/late/7", is_east).await;
+        cluster.ask_until(index, "/late/7", is_east).await;
     }
 }
 
 /// Guards against a node that keeps using a replica whose entry was removed.
 ///
-/// The store refuses the node's calls, and the peer that it follows crashes. If the node took the
-/// store to be unavailable to all nodes, it would hold the replica until expired entries are
+/// The store refuses the node's calls, and the peer that it follows crashes. If the node assumed
+/// that the store is unavailable to all nodes, it would hold the replica until expired entries are
 /// registered again; as it syncs from peers only, it would hold it forever.
 #[tokio::test(flavor = "multi_thread")]
 async fn refused_follower_sees_removal() {
-    let system = start_refused_node().await;
-    assert_removed_replica_is_idle(&system).await;
+    let refused = start_refused_node().await;
+    assert_removed_replica_is_idle(&refused).await;
 }
 
 /// Guards against the same failure once the node follows another peer.
 #[tokio::test(flavor = "multi_thread")]
 async fn refused_follower_sees_removal_from_new_peer() {
-    let system = start_refused_node().await;
-    let before = system.gateways[system.gateway_index].log_lines().len();
+    let refused = start_refused_node().await;
+    let before = refused.gateways[refused.gateway_index].log_lines().len();
     let end = Instant::now() + WAIT_TIMEOUT;
     let follows = |line: &Value| line["message"] == "syncing from a peer";
-    while !system.gateways[system.gateway_index].log_lines()[before..].iter().any(follows) {
+    while !refused.gateways[refused.gateway_index].log_lines()[before..].iter().any(follows) {
         assert!(Instant::now() < end, "the node does not follow another peer");
         tokio::time::sleep(Duration::from_millis(50)).await;
     }
-    assert_removed_replica_is_idle(&system).await;
+    assert_removed_replica_is_idle(&refused).await;
 }
 
 /// A cluster with a node that the store refuses and whose followed peer has crashed.
@@ -264,34 +264,35 @@
 }
 
 /// Waits until every gateway has logged the full number of members.
-async fn wait_for_full_membership(system: &Cluster) {
-    let all = system.gateways.len() as u64;
-    let knows_all = |gateway: &GatewayProcess| {
+async fn wait_for_full_membership(cluster: &Cluster) {
+    let all = cluster.gateways.len() as u64;
+    let has_logged_all = |gateway: &GatewayProcess| {
         gateway.log_lines().iter().any(|line| line["members"].as_u64() == Some(all))
     };
     let end = Instant::now() + WAIT_TIMEOUT;
-    while !system.gateways.iter().all(knows_all) {
-        assert!(Instant::now() < end, "some gateways do not know all others");
+    while !cluster.gateways.iter().all(has_logged_all) {
+        assert!(Instant::now() < end, "some gateways have not logged all members");
         tokio::time::sleep(Duration::from_millis(50)).await;
     }
 }
 
 async fn start_refused_node() -> RefusedNode {
-    let mut system = Cluster::start(12).await;
-    let endpoint = system.store.open_endpoint();
+    let mut cluster = Cluster::start(12).await;
+    let endpoint = cluster.store.open_endpoint();
     let added: Vec<usize> =
-        (0..4).map(|_| system.add_gateway_with_store(endpoint.address())).collect();
-    // The followed peer changes while a node learns of the others, and is chosen again at the end
+        (0..4).map(|_| cluster.add_gateway_with_store(endpoint.address())).collect();
+    // The followed peer changes while a node discovers the others, and is chosen again at the end
     // of each long poll of up to four seconds.
-    wait_for_full_membership(&system).await;
+    wait_for_full_membership(&cluster).await;
     tokio::time::sleep(Duration::from_secs(5)).await;
-    let last_sync_line = |system: &Cluster, index: usize| {
-        let lines = system.gateways[index].log_lines();
+    let last_sync_line = |cluster: &Cluster, index: usize| {
+        let lines = cluster.gateways[index].log_lines();
         lines.into_iter().rfind(|line| line["message"] == "syncing from a peer")
     };
     let end = Instant::now() + WAIT_TIMEOUT;
     let (index, line) = loop {
-        let found = added.iter().find_map(|index| Some((*index, last_sync_line(&system, *index)?)));
+        let found =
+            added.iter().find_map(|index| Some((*index, last_sync_line(&cluster, *index)?)));
         if let Some(found) = found {
             break found;
         }
@@ -300,28 +301,31 @@
     };
     let peer = line["peer"].as_str().unwrap();
     endpoint.set_refusal_status(Some(503));
-    let followed =
-        system.gateways.iter().find(|gateway| gateway.peers_address().to_string() == peer).unwrap();
+    let followed = cluster
+        .gateways
+        .iter()
+        .find(|gateway| gateway.peers_address().to_string() == peer)
+        .unwrap();
     followed.signal(Signal::SIGKILL).unwrap();
-    system.gateways[index]
+    cluster.gateways[index]
         .wait_for_log_line("sync from a peer failed; skipping the peer for a while")
         .unwrap();
-    RefusedNode { cluster: system, gateway_index: index, _store_endpoint: endpoint }
+    RefusedNode { cluster, gateway_index: index, _store_endpoint: endpoint }
 }
 
 /// Guards against a watcher that misses changes because the store refuses its calls.
 #[tokio::test(flavor = "multi_thread")]
 async fn refused_watcher_sees_removal() {
     // All nodes of such a small cluster watch the store.
-    let mut system = Cluster::start(3).await;
-    let endpoint = system.store.open_endpoint();
-    let index = system.add_gateway_with_store(endpoint.address());
-    wait_for_full_membership(&system).await;
-    system.ask_until(index, "/desk/1", |answer| answer.status == 200).await;
+    let mut cluster = Cluster::start(3).await;
+    let endpoint = cluster.store.open_endpoint();
+    let index = cluster.add_gateway_with_store(endpoint.address());
+    wait_for_full_membership(&cluster).await;
+    cluster.ask_until(index, "/desk/1", |answer| answer.status == 200).await;
     endpoint.set_refusal_status(Some(503));
-    system.gateways[index].wait_for_log_line("the store is unavailable").unwrap();
+    cluster.gateways[index].wait_for_log_line("the store is unavailable").unwrap();
     assert_removed_replica_is_idle(&RefusedNode {
-        cluster: system,
+        cluster,
         gateway_index: index,
         _store_endpoint: endpoint,
     })
@@ -329,16 +333,16 @@
 }
 
 /// Removes a replica's entry and asserts that the refused node then sends nothing to the replica.
-async fn assert_removed_replica_is_idle(system: &RefusedNode) {
-    system.store.deregister_replica("da");
+async fn assert_removed_replica_is_idle(refused: &RefusedNode) {
+    refused.store.deregister_replica("da");
     // Longer than expired entries are held.
     tokio::time::sleep(Duration::from_secs(4)).await;
-    let before = system.replica("da").received_requests().len();
+    let before = refused.replica("da").received_requests().len();
     for _ in 0..10 {
-        assert_eq!(system.ask(system.gateway_index, "/desk/7").await.status, 200);
+        assert_eq!(refused.ask(refused.gateway_index, "/desk/7").await.status, 200);
     }
     assert_eq!(
-        system.replica("da").received_requests().len(),
+        refused.replica("da").received_requests().len(),
         before,
         "new work for a replica that has left"
     );
--- a/crates/sassafrasproxy-core/src/forward/sending/fetch.rs
+++ b/crates/sassafrasproxy-core/src/forward/sending/fetch.rs
@@ -7,7 +7,7 @@
 /// The limits of one fetch.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct FetchPlan {
-    /// The expected time of such a request, in microseconds.
+    /// The expected time of an attempt, in microseconds.
     pub expected_us: u64,
     /// The time after an attempt at which a hedge may start, in microseconds.
     pub hedge_after_us: u64,
@@ -18,7 +18,7 @@
     /// The number of shares into which the fixed part of the retry budget is divided; see
     /// `budget_shares`.
     pub budget_shares: usize,
-    /// The class of routes in which its attempts are counted in the trial of a version.
+    /// The route class under which the attempts are counted in the trial of a version.
     pub route_class: RouteClass,
 }
 
@@ -207,19 +207,19 @@
         replica: EcoString,
         cause: SendCause,
     ) -> FetchStep {
-        let send = pool.start_send(&replica, now_us, plan.expected_us, plan.hedge_after_us);
-        let Some(send) = send else {
+        let send_id = pool.start_send(&replica, now_us, plan.expected_us, plan.hedge_after_us);
+        let Some(send_id) = send_id else {
             let failure = FetchFailure {
                 reason: FetchFailureReason::NoReplica,
                 may_have_run: self.may_have_run,
             };
             return FetchStep::Failed(failure);
         };
-        pool.count_in_trial(&replica, send, cause == SendCause::First, plan.route_class);
+        pool.count_in_trial(&replica, send_id, cause == SendCause::First, plan.route_class);
         self.tried.push(replica.clone());
         self.in_flight += 1;
         self.attempts += 1;
         self.last_sent_us = now_us;
-        FetchStep::Send { replica, send_id: send, cause }
+        FetchStep::Send { replica, send_id, cause }
     }
 }
--- a/crates/sassafrasproxy-core/tests/fetches.rs
+++ b/crates/sassafrasproxy-core/tests/fetches.rs
@@ -20,9 +20,9 @@
         let settings =
             PoolSettings { failure_domain: "west".into(), warmup_factor: 1.5, warmup_slack: 5.0 };
         let mut catalogue = Catalogue { version: 1, ..Catalogue::default() };
-        for at in 0..replicas {
+        for index in 0..replicas {
             let entry = ReplicaEntry {
-                id: ecow::eco_format!("r{at}"),
+                id: ecow::eco_format!("r{index}"),
                 born_ms: 1,
                 sequence: 1,
                 service: "s".into(),
@@ -58,9 +58,9 @@
 
     fn expect_send(&mut self, now_us: u64, expected: SendCause) {
         let step = self.next(now_us);
-        let FetchStep::Send { replica, send_id: send, cause } = step else { panic!("{step:?}") };
+        let FetchStep::Send { replica, send_id, cause } = step else { panic!("{step:?}") };
         assert_eq!(cause, expected);
-        self.pool.finish_send(&replica, send, now_us, SendOutcome::Cancelled, None);
+        self.pool.finish_send(&replica, send_id, now_us, SendOutcome::Cancelled, None);
     }
 
     fn expect_failure(&mut self, reason: FetchFailureReason, may_have_run: bool) {
@@ -128,7 +128,7 @@
     harness.expect_failure(FetchFailureReason::NoBudget, false);
 }
 
-/// Guards against a fetch that waits although no replica is known: it fails at once.
+/// Guards against a fetch that waits, instead of failing at once, when the service has no replica.
 #[test]
 fn no_replica() {
     FetchHarness::new(0, true, 100.0).expect_failure(FetchFailureReason::NoReplica, false);
--- a/crates/sassafrasproxy-core/tests/shards/mod.rs
+++ b/crates/sassafrasproxy-core/tests/shards/mod.rs
@@ -153,8 +153,9 @@
             };
             let mut pool = UpstreamPool::new(settings);
             pool.update(0, &catalogue, workload.nodes);
-            let times = workload.query_kinds.iter().map(|_| RouteLatencies::default()).collect();
-            Node { pool, budget: RetryBudget::new(policy, 0), latencies: times, domain }
+            let latencies =
+                workload.query_kinds.iter().map(|_| RouteLatencies::default()).collect();
+            Node { pool, budget: RetryBudget::new(policy, 0), latencies, domain }
         });
         let nodes = nodes.collect();
         let outcomes = workload.query_kinds.iter().map(|_| Outcome::default()).collect();
@@ -289,7 +290,7 @@
                 return u64::MAX;
             }
             match fetch.next(self.now_us, &query.fetch_plan, &mut node.pool, &mut node.budget) {
-                FetchStep::Send { replica, send_id: send, cause } => {
+                FetchStep::Send { replica, send_id, cause } => {
                     let domain = node.domain;
                     let replica =
                         self.replicas.iter().position(|candidate| candidate.id == replica).unwrap();
@@ -306,7 +307,7 @@
                         query: query_index,
                         shard,
                         replica,
-                        send,
+                        send: send_id,
                         sent_us: self.now_us,
                         end: None,
                         reported: None,
--- a/crates/sassafrasproxy-gateway/src/control.rs
+++ b/crates/sassafrasproxy-gateway/src/control.rs
@@ -64,7 +64,7 @@
     pub view: watch::Sender<GatewayView>,
     /// Becomes true when the graceful shutdown starts.
     pub leaving: watch::Receiver<bool>,
-    /// Becomes true when a caller was refused because no configuration is known yet.
+    /// Becomes true when a caller was refused because this node has no configuration yet.
     pub configuration_needed: watch::Receiver<bool>,
     /// Crash reports from the traffic thread.
     pub local_crashes: mpsc::UnboundedReceiver<CrashReport>,
@@ -191,14 +191,14 @@
         }
         let log_events = discovery.take_log_events();
         log_discovery_events(&log_events, self.store_revision());
-        let is_rollout = |log_event: &DiscoveryLogEvent| {
+        let is_rollout_change = |log_event: &DiscoveryLogEvent| {
             matches!(
                 log_event,
                 DiscoveryLogEvent::RolloutOrderChanged { .. }
                     | DiscoveryLogEvent::RolloutAdvanced { .. }
             )
         };
-        if log_events.iter().any(is_rollout) {
+        if log_events.iter().any(is_rollout_change) {
             self.rollout_changed.notify_one();
         }
         let catalogue = discovery.take_catalogue();
@@ -208,11 +208,11 @@
         }
         let reported = discovery.nodes().map(|node| node.node_count as usize);
         let reported = reported.filter(|count| *count <= MAX_REPORTED_NODES).max().unwrap_or(0);
-        let registered = reported.max(discovery.nodes().count());
+        let registered_node_count = reported.max(discovery.nodes().count());
         if let Some(catalogue) = catalogue {
             self.view.send_modify(|view| {
                 view.catalogue = Arc::new(catalogue);
-                view.registered_node_count = registered;
+                view.registered_node_count = registered_node_count;
             });
         }
     }
@@ -296,7 +296,7 @@
     /// Records the result of a store read, and notifies discovery when the store becomes
     /// unavailable or recovers.
     ///
-    /// A compacted history is an answer: the store is available then.
+    /// A reply that the history was compacted is an answer: the store is available then.
     pub fn record_store_read(&self, error: Option<&StoreError>) {
         let is_unavailable = !matches!(error, None | Some(StoreError::HistoryCompacted));
         self.gossip.borrow_mut().set_store_unavailable(is_unavailable);
@@ -340,23 +340,23 @@
 /// replicas change at once: more than [`MAX_LOG_LINES`] updated or removed replicas get one line
 /// with their number.
 fn log_discovery_events(log_events: &[DiscoveryLogEvent], store_revision: u64) {
-    let is_listed = |log_event: &&DiscoveryLogEvent| {
+    let is_updated = |log_event: &&DiscoveryLogEvent| {
         matches!(log_event, DiscoveryLogEvent::ReplicaUpdated { .. })
     };
     let is_removed = |log_event: &&DiscoveryLogEvent| {
         matches!(log_event, DiscoveryLogEvent::ReplicaEntryRemoved { .. })
     };
-    let listed = log_events.iter().filter(is_listed).count();
+    let updated = log_events.iter().filter(is_updated).count();
     let removed = log_events.iter().filter(is_removed).count();
-    if listed > MAX_LOG_LINES {
-        log::info!(count = listed, store_revision; "replicas are listed");
+    if updated > MAX_LOG_LINES {
+        log::info!(count = updated, store_revision; "replicas are listed");
     }
     if removed > MAX_LOG_LINES {
         log::info!(count = removed, store_revision; "replicas are no longer listed");
     }
     for log_event in log_events {
         let count = match log_event {
-            DiscoveryLogEvent::ReplicaUpdated { .. } => listed,
+            DiscoveryLogEvent::ReplicaUpdated { .. } => updated,
             DiscoveryLogEvent::ReplicaEntryRemoved { .. } => removed,
             DiscoveryLogEvent::ConfigurationActivated { .. }
             | DiscoveryLogEvent::OlderConfigurationIgnored { .. }
@@ -415,7 +415,7 @@
         DiscoveryLogEvent::StaleEntryIgnored { id } => {
             log::info!(
                 replica:% = id, store_revision;
-                "ignored a replica entry older than the known one"
+                "ignored a replica entry older than the current one"
             );
         }
         DiscoveryLogEvent::DomainChanged { domain, is_out } => {
--- a/crates/sassafrasproxy-gateway/src/gather.rs
+++ b/crates/sassafrasproxy-gateway/src/gather.rs
@@ -136,7 +136,7 @@
     }
 }
 
-/// Whether a query is admitted.
+/// The admission decision for a query.
 enum QueryAdmission {
     Now,
     Wait { until_us: u64 },
@@ -290,11 +290,11 @@
                 shard.fetch.next(now_us, &self.fetch_plan, &mut pool, &mut budget)
             };
             match step {
-                FetchStep::Send { replica, send_id: send, cause } => {
+                FetchStep::Send { replica, send_id, cause } => {
                     self.traffic.count_send(cause);
                     let request = &self.request.attempt_id;
                     log::debug!(request:%, replica:%, cause:?; "starting a send to a replica");
-                    self.start_or_defer_send(index, &replica, send, cause);
+                    self.start_or_defer_send(index, &replica, send_id, cause);
                 }
                 FetchStep::Wait { until_us } => return until_us.unwrap_or(u64::MAX),
                 FetchStep::Failed(failure) => {
@@ -385,7 +385,7 @@
         self.send_through_relays(domain, sends, &shares);
     }
 
-    /// Sends each share through a relay of its own; sends that no relay takes go directly.
+    /// Sends each share through a separate relay; sends left without a relay go directly.
     fn send_through_relays(
         &mut self,
         domain: &EcoString,
@@ -444,21 +444,21 @@
             self.shards[part.shard].fetch.record_result(part.result);
             stamps.extend(part.stamp.map(|stamp| (part.shard, stamp)));
         }
-        let is_fresh = stamps.iter().all(|(shard, stamp)| {
+        let is_usable = stamps.iter().all(|(shard, stamp)| {
             let is_alone = match self.shards[*shard].state {
                 ShardState::Received(batch) => self.batches[batch].stamps.len() == 1,
                 ShardState::Pending | ShardState::Missing(_) => true,
             };
             is_alone && !self.has_stamp(stamp)
         });
-        if is_fresh && !stamps.is_empty() {
+        if is_usable && !stamps.is_empty() {
             self.add_batch(RecordBatch { stamps, records });
         }
         shards
     }
 
     fn has_stamp(&self, stamp: &EcoString) -> bool {
-        self.batches.iter().flat_map(|batch| &batch.stamps).any(|(_, known)| known == stamp)
+        self.batches.iter().flat_map(|batch| &batch.stamps).any(|(_, received)| received == stamp)
     }
 
     fn add_batch(&mut self, batch: RecordBatch) {
--- a/crates/sassafrasproxy-gateway/src/peer_sync.rs
+++ b/crates/sassafrasproxy-gateway/src/peer_sync.rs
@@ -223,9 +223,9 @@
         None => (peer.into(), PersistentClient::new(peer.parse()?)),
     };
     let path = eco_format!("{PEER_SYNC_PATH}?after={revision}&wait_ms={wait_ms}");
-    let call = StoreRequest { method: Method::GET, path, body: Bytes::new() };
+    let request = StoreRequest { method: Method::GET, path, body: Bytes::new() };
     let limit = CALL_TIMEOUT + Duration::from_millis(wait_ms);
-    let (status, body) = connection.call(call, limit).await?;
+    let (status, body) = connection.call(request, limit).await?;
     ensure!(status == StatusCode::OK, "the peer answered with status {status}");
     *client = Some((address, connection));
     Ok(postcard::from_bytes(&body)?)
@@ -234,7 +234,7 @@
 /// Applies a peer's update to the registry.
 fn apply_update(state: &ControlState, update: PeerUpdate) {
     let hold_until_us = state.clock.now_us() + update.expired_hold_ms * US_PER_MS;
-    // Holds also for a peer that itself synced from another peer: the node that read the store
+    // This also applies if the peer itself synced from another peer: the node that read the store
     // decides how long expired entries may be registered again, and each peer passes that time on.
     state.apply_events([DiscoveryEvent::PeerSyncStarted]);
     let revision = update.revision;
@@ -286,7 +286,7 @@
     let number = |name: &str| {
         let mut pairs = query.split('&').filter_map(|pair| pair.split_once('='));
         let value = pairs.find(|(key, _)| *key == name).map(|(_, value)| value);
-        // A peer of another version may omit a parameter: with zeros it gets everything at once.
+        // A peer of another version may omit a parameter: zeros request all entries at once.
         value.and_then(|value| value.parse().ok()).unwrap_or(0)
     };
     (number("after"), number("wait_ms"))
--- a/crates/sassafrasproxy-gateway/src/relay_call.rs
+++ b/crates/sassafrasproxy-gateway/src/relay_call.rs
@@ -82,9 +82,9 @@
             send_id: call_id.unwrap_or(0),
             outcome: SendOutcome::Cancelled,
         };
-        let left_us = spec.deadline_us.saturating_sub(started_us);
-        let limit = Duration::from_micros(left_us + REPLY_MARGIN_US);
-        let call = run_relay_call(&traffic, &spec, left_us, &mut pending_sends, &on_reply);
+        let remaining_us = spec.deadline_us.saturating_sub(started_us);
+        let limit = Duration::from_micros(remaining_us + REPLY_MARGIN_US);
+        let call = run_relay_call(&traffic, &spec, remaining_us, &mut pending_sends, &on_reply);
         guard.outcome = match timeout(limit, call).await {
             Ok(Ok(())) => SendOutcome::Answered,
             Ok(Err(error)) => {
@@ -130,12 +130,12 @@
 async fn run_relay_call(
     traffic: &Rc<TrafficState>,
     spec: &RelayCallSpec,
-    left_us: u64,
+    remaining_us: u64,
     pending_sends: &mut IndexMap<usize, SendGuard>,
     on_reply: &impl Fn(Vec<RelayPartResult>, Bytes),
 ) -> eyre::Result<()> {
     let started_us = traffic.clock.now_us();
-    let mut call = traffic.relays.call(&spec.relay, build_relay_call(spec, left_us)).await?;
+    let mut call = traffic.relays.call(&spec.relay, build_relay_call(spec, remaining_us)).await?;
     while !pending_sends.is_empty() {
         let Some(reply) = call.next_reply().await else {
             // The connection ended after the call was sent, so the replicas may have run it.
@@ -146,7 +146,7 @@
             on_reply(lost.collect(), Bytes::new());
             eyre::bail!("the connection to the relay ended before all parts were reported");
         };
-        let took_us = traffic.clock.now_us() - started_us;
+        let elapsed_us = traffic.clock.now_us() - started_us;
         traffic.relays.record_reply(&spec.relay, traffic.clock.now_us());
         let mut parts = Vec::with_capacity(reply.parts.len());
         for part in reply.parts {
@@ -154,7 +154,7 @@
             let (outcome, result, stamp) = interpret_part_outcome(part.outcome);
             guard.finish(outcome, part.reported_load);
             if result == SendResult::Answered {
-                traffic.record_latency(&spec.route, took_us);
+                traffic.record_latency(&spec.route, elapsed_us);
             }
             parts.push(RelayPartResult { shard: part.shard_index, result, stamp });
         }
@@ -182,7 +182,7 @@
     }
 }
 
-fn build_relay_call(spec: &RelayCallSpec, left_us: u64) -> RelayCall {
+fn build_relay_call(spec: &RelayCallSpec, remaining_us: u64) -> RelayCall {
     let request = &spec.request;
     let headers = request.headers.iter();
     let headers = headers.map(|(name, value)| (name.as_str().into(), value.as_bytes().to_vec()));
@@ -199,7 +199,7 @@
         uri: ecow::eco_format!("{}", request.uri),
         headers: headers.collect(),
         body: request.body.to_vec(),
-        remaining_us: left_us,
+        remaining_us,
         fingerprint: request.fingerprint,
         top_k: spec.top_k,
         parts: parts.collect(),
--- a/crates/sassafrasproxy-gateway/src/relay_server.rs
+++ b/crates/sassafrasproxy-gateway/src/relay_server.rs
@@ -130,14 +130,14 @@
     replies: mpsc::UnboundedSender<RelayReply>,
 ) {
     let Some(request) = decode_caller_request(&traffic, &call) else {
-        let all = call.parts.iter().map(|part| RelayReplyPart {
+        let unsent = call.parts.iter().map(|part| RelayReplyPart {
             shard_index: part.shard_index,
             outcome: RelayPartOutcome::Unsent,
             reported_load: None,
         });
         let _ = replies.send(RelayReply {
             id: call.id,
-            parts: all.collect(),
+            parts: unsent.collect(),
             record_batch: Vec::new(),
         });
         return;
--- a/crates/sassafrasproxy-gateway/src/single_replica.rs
+++ b/crates/sassafrasproxy-gateway/src/single_replica.rs
@@ -44,7 +44,7 @@
             fetch.next(now_us, &plan, &mut pool, &mut budget)
         };
         let until_us = match step {
-            FetchStep::Send { replica, send_id: send, cause } => {
+            FetchStep::Send { replica, send_id, cause } => {
                 traffic.count_send(cause);
                 log::debug!(
                     request:% = request.attempt_id, replica:%, cause:?;
@@ -56,7 +56,7 @@
                     request: request.clone(),
                     route: route.name.clone(),
                     replica,
-                    send_id: send,
+                    send_id,
                     deadline_us,
                     is_fan_out: false,
                     is_idempotent: route.is_idempotent,
