--- a/crates/sassafrasproxy-core/tests/shards/mod.rs
+++ b/crates/sassafrasproxy-core/tests/shards/mod.rs
@@ -46,10 +46,10 @@
     query: usize,
     shard: usize,
     replica: usize,
-    send: SendId,
+    send_id: SendId,
     sent_us: u64,
-    end: Option<(SendOutcome, SendResult)>,
-    reported: Option<u32>,
+    final_result: Option<(SendOutcome, SendResult)>,
+    reported_load: Option<u32>,
 }
 
 struct Query {
@@ -307,10 +307,10 @@
                         query: query_index,
                         shard,
                         replica,
-                        send: send_id,
+                        send_id,
                         sent_us: self.now_us,
-                        end: None,
-                        reported: None,
+                        final_result: None,
+                        reported_load: None,
                     });
                     self.schedule(
                         self.now_us + one_way_us,
@@ -336,7 +336,8 @@
             Some(Fault::Unresponsive) => {
                 let query = &self.queries[send.query];
                 let wait_us = query.plan.deadline_us.saturating_sub(self.now_us) + 50_000;
-                self.sends[send_index].end = Some((SendOutcome::TimedOut, SendResult::MayHaveRun));
+                self.sends[send_index].final_result =
+                    Some((SendOutcome::TimedOut, SendResult::MayHaveRun));
                 return self.schedule(self.now_us + wait_us, Event::ReceiveAnswer(send_index));
             }
             Some(Fault::Slow(_) | Fault::Resets(_)) | None => {}
@@ -381,9 +382,9 @@
     fn send_answer(&mut self, send_index: usize, outcome: SendOutcome, result: SendResult) {
         let send = &mut self.sends[send_index];
         let replica = &self.replicas[send.replica];
-        send.end = Some((outcome, result));
+        send.final_result = Some((outcome, result));
         if !matches!(outcome, SendOutcome::Unreachable | SendOutcome::Lost) {
-            send.reported = Some((replica.running + replica.waiting.len()) as u32);
+            send.reported_load = Some((replica.running + replica.waiting.len()) as u32);
         }
         let is_near = send.replica % self.workload.replicas_per_shard
             == self.nodes[self.queries[send.query].node].domain;
@@ -393,12 +394,12 @@
 
     fn receive_answer(&mut self, send_index: usize) {
         let send = &self.sends[send_index];
-        let (outcome, result) = send.end.unwrap();
+        let (outcome, result) = send.final_result.unwrap();
         let (query_index, shard) = (send.query, send.shard);
         let (kind, node) = (self.queries[query_index].kind, self.queries[query_index].node);
         let id = self.replicas[send.replica].id.clone();
         let node = &mut self.nodes[node];
-        node.pool.finish_send(&id, send.send, self.now_us, outcome, send.reported);
+        node.pool.finish_send(&id, send.send_id, self.now_us, outcome, send.reported_load);
         if outcome == SendOutcome::Answered {
             node.latencies[kind].record(self.now_us - send.sent_us);
         }
