--- a/crates/sassafrasproxy-core/src/forward/rollout/coordinator.rs
+++ b/crates/sassafrasproxy-core/src/forward/rollout/coordinator.rs
@@ -372,10 +372,10 @@
                     TrialVerdict::Suspicious if is_last_moment && may_promote => {
                         NextStep::Write(RolloutPhase::Promoted)
                     }
-                    TrialVerdict::Doubtful if is_last_moment => NextStep::StopAndRollBack,
+                    TrialVerdict::Inconclusive if is_last_moment => NextStep::StopAndRollBack,
                     TrialVerdict::Good
                     | TrialVerdict::Suspicious
-                    | TrialVerdict::Doubtful
+                    | TrialVerdict::Inconclusive
                     | TrialVerdict::Bad => NextStep::Nothing,
                 }
             }
--- a/crates/sassafrasproxy-core/src/forward/rollout/trial_analysis.rs
+++ b/crates/sassafrasproxy-core/src/forward/rollout/trial_analysis.rs
@@ -7,9 +7,9 @@
 /// The score from which a version is rolled back, as a log-likelihood ratio.
 const BAD_SCORE: f64 = 5.5;
 
-/// The score from which a version is rolled back when no time is left to observe it further: a
-/// doubtful version is not promoted.
-const DOUBTFUL_SCORE: f64 = 3.5;
+/// The score from which a version is rolled back when no time is left to observe it further: an
+/// inconclusive trial does not lead to promotion.
+const INCONCLUSIVE_SCORE: f64 = 3.5;
 
 /// The score below which a version may be promoted before the time is up.
 const SUSPICIOUS_SCORE: f64 = 2.0;
@@ -45,7 +45,7 @@
     /// There is some evidence against it; it should be observed for longer.
     Suspicious,
     /// There is too much evidence against it to promote it.
-    Doubtful,
+    Inconclusive,
     /// It is bad and must be rolled back.
     Bad,
 }
@@ -137,7 +137,7 @@
     pub fn verdict(&self, replicas: u32) -> TrialVerdict {
         match self.score(replicas) {
             score if score >= BAD_SCORE => TrialVerdict::Bad,
-            score if score >= DOUBTFUL_SCORE => TrialVerdict::Doubtful,
+            score if score >= INCONCLUSIVE_SCORE => TrialVerdict::Inconclusive,
             score if score >= SUSPICIOUS_SCORE => TrialVerdict::Suspicious,
             _ => TrialVerdict::Good,
         }
