--- a/crates/sassafrasproxy-cli/tests/answer_correctness.rs
+++ b/crates/sassafrasproxy-cli/tests/answer_correctness.rs
@@ -16,11 +16,11 @@
 const SERVICES: [&str; 2] = ["art-archive", "counter-desk"];
 
 async fn start_cluster() -> Cluster {
-    let system = Cluster::start(2).await;
-    for node in &system.nodes {
+    let cluster = Cluster::start(2).await;
+    for node in &cluster.nodes {
         search_until_complete(node.address(), &SERVICES).await;
     }
-    system
+    cluster
 }
 
 /// Sends one search with a given text and checks what must hold for every answer: its coverage,
@@ -62,13 +62,13 @@
         ("crash", UpstreamFault::Crash { down_ms: 200 }, UpstreamFault::TurnCold),
     ];
     for (name, on, off) in faults {
-        let system = start_cluster().await;
-        let node = system.nodes[0].address();
-        system.upstreams[0].1.apply_fault(on);
+        let cluster = start_cluster().await;
+        let node = cluster.nodes[0].address();
+        cluster.upstreams[0].1.apply_fault(on);
         let (full, sent) = send_checked_searches(node, 40).await;
         println!("{name}: {full} of {sent} in full");
         assert!(full > 0, "{name}");
-        system.upstreams[0].1.apply_fault(off);
+        cluster.upstreams[0].1.apply_fault(off);
         search_until_complete(node, &SERVICES).await;
     }
 }
@@ -79,9 +79,9 @@
 // answers.
 #[tokio::test(flavor = "multi_thread")]
 async fn persistently_mismatched_answers() {
-    let system = start_cluster().await;
-    system.upstreams[0].1.apply_fault(UpstreamFault::CrossAnswers(true));
-    let (full, sent) = send_checked_searches(system.nodes[0].address(), 300).await;
+    let cluster = start_cluster().await;
+    cluster.upstreams[0].1.apply_fault(UpstreamFault::CrossAnswers(true));
+    let (full, sent) = send_checked_searches(cluster.nodes[0].address(), 300).await;
     println!("{full} of {sent} in full");
     assert!(full * 10 > sent * 9, "{full} of {sent}");
 }
@@ -91,10 +91,10 @@
 // and no error arrives.
 #[tokio::test(flavor = "multi_thread")]
 async fn stalled_connections() {
-    let system = start_cluster().await;
-    let node = system.nodes[0].address();
+    let cluster = start_cluster().await;
+    let node = cluster.nodes[0].address();
     send_checked_searches(node, 20).await;
-    for (_, upstream) in &system.upstreams {
+    for (_, upstream) in &cluster.upstreams {
         upstream.apply_fault(UpstreamFault::SilenceConnections);
     }
     let (full, sent) = send_checked_searches(node, 20).await;
@@ -110,18 +110,18 @@
 // drop the old one, one replica after another. Every answer must come from one of the two.
 #[tokio::test(flavor = "multi_thread")]
 async fn rolling_snapshots() {
-    let system = start_cluster().await;
+    let cluster = start_cluster().await;
     let shards = |service: &str| if service == "art-archive" { 2 } else { 1 };
-    let node = system.nodes[1].address();
+    let node = cluster.nodes[1].address();
     let roll = async {
-        for (service, upstream) in &system.upstreams {
+        for (service, upstream) in &cluster.upstreams {
             let both =
                 vec![complete_snapshot(7, shards(service)), complete_snapshot(8, shards(service))];
             upstream.apply_fault(UpstreamFault::Hold(both));
             tokio::time::sleep(Duration::from_millis(150)).await;
         }
         // Statuses lag, so a replica may drop the old snapshot before every node knows the new one.
-        for (service, upstream) in &system.upstreams {
+        for (service, upstream) in &cluster.upstreams {
             upstream.apply_fault(UpstreamFault::Hold(vec![complete_snapshot(8, shards(service))]));
             tokio::time::sleep(Duration::from_millis(150)).await;
         }
@@ -137,11 +137,11 @@
 // it that are missing.
 #[tokio::test(flavor = "multi_thread")]
 async fn resharding() {
-    let system = start_cluster().await;
-    let node = system.nodes[0].address();
+    let cluster = start_cluster().await;
+    let node = cluster.nodes[0].address();
     let layouts = [2, 4];
     let split = async {
-        for upstream in system.upstreams.iter().filter(|(name, _)| name == "art-archive") {
+        for upstream in cluster.upstreams.iter().filter(|(name, _)| name == "art-archive") {
             upstream.1.apply_fault(UpstreamFault::Hold(vec![
                 complete_snapshot(7, 2),
                 complete_snapshot(8, 4),
@@ -170,19 +170,19 @@
 // through all nodes. At most two replicas may crash, and other searches must still be answered.
 #[tokio::test(flavor = "multi_thread")]
 async fn poison_request() {
-    let system = start_cluster().await;
-    for (_, upstream) in &system.upstreams {
+    let cluster = start_cluster().await;
+    for (_, upstream) in &cluster.upstreams {
         upstream.apply_fault(UpstreamFault::CrashOn(Some("kill".into())));
     }
     let poison = json!({ "services": ["counter-desk"], "kind": "search", "body": "kill" });
     for number in 0..30 {
-        let node = system.nodes[number % 2].address();
+        let node = cluster.nodes[number % 2].address();
         let _ = send_query(node, poison.to_string(), &[]).await;
     }
     let crash_count: u32 =
-        system.upstreams.iter().map(|(_, upstream)| upstream.crash_count()).sum();
+        cluster.upstreams.iter().map(|(_, upstream)| upstream.crash_count()).sum();
     assert!((1..=2).contains(&crash_count), "{crash_count} crashed");
-    for node in &system.nodes {
+    for node in &cluster.nodes {
         search_until_complete(node.address(), &SERVICES).await;
     }
 }
--- a/crates/sassafrasproxy-cli/tests/at_most_once.rs
+++ b/crates/sassafrasproxy-cli/tests/at_most_once.rs
@@ -25,9 +25,9 @@
 }
 
 /// Returns the number of times that upstreams started to run each reorder, by its body.
-fn run_counts(system: &Cluster) -> IndexMap<String, usize> {
+fn run_counts(cluster: &Cluster) -> IndexMap<String, usize> {
     let mut counts = IndexMap::new();
-    let runs = system.upstreams.iter().flat_map(|(_, upstream)| upstream.runs());
+    let runs = cluster.upstreams.iter().flat_map(|(_, upstream)| upstream.runs());
     for run in runs.filter(|run| run.kind == "reorder") {
         *counts.entry(run.body.to_string()).or_default() += 1;
     }
@@ -35,17 +35,17 @@
 }
 
 async fn start_cluster(node_count: usize) -> Cluster {
-    let system = Cluster::start(node_count).await;
-    for node in &system.nodes {
+    let cluster = Cluster::start(node_count).await;
+    for node in &cluster.nodes {
         search_until_complete(node.address(), &["counter-desk"]).await;
     }
-    system
+    cluster
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn repeat_through_another_node() {
-    let system = start_cluster(2).await;
-    let (first, other) = (system.nodes[0].address(), system.nodes[1].address());
+    let cluster = start_cluster(2).await;
+    let (first, other) = (cluster.nodes[0].address(), cluster.nodes[1].address());
     let answer = send_reorder(first, "order-1", "100 cards").await.unwrap();
     let repeat = loop {
         // The outcome of the order is recorded just after its answer is sent.
@@ -58,56 +58,56 @@
     assert_eq!(repeat.results[0].body.get(), answer.results[0].body.get());
     let (status, refusal) = send_reorder(other, "order-1", "200 cards").await.unwrap_err();
     assert_eq!((status, refusal.reason), (409, FailureReason::KeyReused));
-    assert_eq!(run_counts(&system).into_values().collect::<Vec<_>>(), [1]);
+    assert_eq!(run_counts(&cluster).into_values().collect::<Vec<_>>(), [1]);
 }
 
 // Guards against an order that hangs or runs while the platform's store is unavailable. The answer
 // must say at once that the order did not run, so that staff can retry it later.
 #[tokio::test(flavor = "multi_thread")]
 async fn store_unavailable() {
-    let system = start_cluster(2).await;
-    let node = system.nodes[0].address();
+    let cluster = start_cluster(2).await;
+    let node = cluster.nodes[0].address();
     send_reorder(node, "order-0", "0 cards").await.unwrap();
     let outage = Some(Outage::Fail);
-    system.platform.set_faults(PlatformFaults { outage, ..PlatformFaults::default() });
+    cluster.platform.set_faults(PlatformFaults { outage, ..PlatformFaults::default() });
     let (status, refusal) = send_reorder(node, "order-1", "1 cards").await.unwrap_err();
     assert_eq!((status, refusal.reason), (503, FailureReason::ClaimUnavailable));
     assert_eq!(refusal.outcome, Outcome::NotRun);
     assert!(refusal.retry_after_ms.is_some());
     search_until_complete(node, &["counter-desk"]).await;
-    system.platform.set_faults(PlatformFaults::default());
-    assert_eq!(run_counts(&system).len(), 1);
+    cluster.platform.set_faults(PlatformFaults::default());
+    assert_eq!(run_counts(&cluster).len(), 1);
     while send_reorder(node, "order-1", "1 cards").await.is_err() {
         tokio::time::sleep(Duration::from_millis(50)).await;
     }
-    assert!(run_counts(&system).values().all(|count| *count == 1));
+    assert!(run_counts(&cluster).values().all(|count| *count == 1));
 }
 
 // Guards against a second run of an order whose ingress node is killed while the order runs. Staff
 // send the order again through another node; a second print run would cost a day's paper.
 #[tokio::test(flavor = "multi_thread")]
 async fn killed_ingress_node() {
-    let mut system = start_cluster(2).await;
-    for (_, upstream) in &system.upstreams {
+    let mut cluster = start_cluster(2).await;
+    for (_, upstream) in &cluster.upstreams {
         let straggle = Stragglers { probability: 1.0, factor: 50.0 };
         upstream.apply_fault(UpstreamFault::Straggle(Some(straggle)));
     }
-    let node = system.nodes[1].address();
+    let node = cluster.nodes[1].address();
     let request = json!({ "services": ["counter-desk"], "kind": "reorder", "body": "cards" });
     let client = reqwest::Client::builder().no_proxy().build().unwrap();
     let call = client.post(format!("http://{node}/v1/query")).header("x-request-id", "order-1");
     let call = tokio::spawn(call.body(request.to_string()).send());
-    while run_counts(&system).is_empty() {
+    while run_counts(&cluster).is_empty() {
         tokio::time::sleep(Duration::from_millis(1)).await;
     }
-    system.nodes[1].kill().unwrap();
+    cluster.nodes[1].kill().unwrap();
     assert!(call.await.unwrap().is_err(), "the caller sees its connection end");
     for _ in 0..5 {
         let (_, refusal) =
-            send_reorder(system.nodes[0].address(), "order-1", "cards").await.unwrap_err();
+            send_reorder(cluster.nodes[0].address(), "order-1", "cards").await.unwrap_err();
         assert_ne!(refusal.outcome, Outcome::NotRun, "it did run: {refusal:?}");
     }
-    assert_eq!(run_counts(&system).into_values().collect::<Vec<_>>(), [1]);
+    assert_eq!(run_counts(&cluster).into_values().collect::<Vec<_>>(), [1]);
 }
 
 // Guards against orders that run twice, and against answers for another order, when several faults
@@ -116,9 +116,9 @@
 // must show each order at most once, and every answer must belong to its order.
 #[tokio::test(flavor = "multi_thread")]
 async fn repeated_requests_under_faults() {
-    let system = start_cluster(3).await;
+    let cluster = start_cluster(3).await;
     let nodes: Vec<SocketAddr> =
-        system.nodes.iter().map(sassafrasproxy_standin::NodeProcess::address).collect();
+        cluster.nodes.iter().map(sassafrasproxy_standin::NodeProcess::address).collect();
     let mut callers = JoinSet::new();
     for caller in 0..3 {
         for order in 0..20 {
@@ -143,20 +143,20 @@
     }
     for round in 0..6 {
         let faults = PlatformFaults { lose_answers: 3, ..PlatformFaults::default() };
-        system.platform.set_faults(faults);
+        cluster.platform.set_faults(faults);
         if round == 1 {
-            system.nodes[2].pause().unwrap();
+            cluster.nodes[2].pause().unwrap();
         }
         if round == 2 {
-            system.upstreams[2].1.apply_fault(UpstreamFault::Crash { down_ms: 100 });
+            cluster.upstreams[2].1.apply_fault(UpstreamFault::Crash { down_ms: 100 });
         }
         tokio::time::sleep(Duration::from_millis(100)).await;
         if round == 4 {
-            system.nodes[2].resume().unwrap();
+            cluster.nodes[2].resume().unwrap();
         }
     }
     let answered = callers.join_all().await.into_iter().filter(|is_answered| *is_answered).count();
-    let runs = run_counts(&system);
+    let runs = run_counts(&cluster);
     println!("{answered} of 60 answered, {} orders ran", runs.len());
     for (body, count) in &runs {
         assert_eq!(*count, 1, "{body} ran {count} times");
--- a/crates/sassafrasproxy-cli/tests/drain_and_shutdown.rs
+++ b/crates/sassafrasproxy-cli/tests/drain_and_shutdown.rs
@@ -76,11 +76,11 @@
 }
 
 async fn start_cluster() -> Cluster {
-    let system = Cluster::start(3).await;
-    for node in &system.nodes {
+    let cluster = Cluster::start(3).await;
+    for node in &cluster.nodes {
         search_until_complete(node.address(), &["art-archive", "counter-desk"]).await;
     }
-    system
+    cluster
 }
 
 // Guards against lost or refused queries when operators take a failure domain out of service under
@@ -88,11 +88,11 @@
 // be sent to other nodes.
 #[tokio::test(flavor = "multi_thread")]
 async fn domain_out_and_in() {
-    let system = start_cluster().await;
+    let cluster = start_cluster().await;
     let nodes: Vec<SocketAddr> =
-        system.nodes.iter().map(sassafrasproxy_standin::NodeProcess::address).collect();
+        cluster.nodes.iter().map(sassafrasproxy_standin::NodeProcess::address).collect();
     let search_tasks: Vec<_> = nodes.iter().map(|node| spawn_searches(*node)).collect();
-    let platform = PlatformClient::new(system.platform.url()).unwrap();
+    let platform = PlatformClient::new(cluster.platform.url()).unwrap();
     let out = PublishRequest::DomainOut(FAILURE_DOMAINS[1].into());
     let outcome = publish(&platform, out, "test".into(), |_| {}).await;
     assert_eq!(outcome, PublishOutcome::Done { revision: 2 });
@@ -111,7 +111,7 @@
     }
     // The second replica of each service is in the domain; work that runs there may end.
     let in_domain: Vec<_> =
-        system.upstreams.iter().skip(1).step_by(2).map(|(_, upstream)| upstream).collect();
+        cluster.upstreams.iter().skip(1).step_by(2).map(|(_, upstream)| upstream).collect();
     wait_until_idle(&in_domain).await;
     let before: u64 = in_domain.iter().map(|one| one.run_count()).sum();
     tokio::time::sleep(Duration::from_millis(300)).await;
@@ -137,13 +137,13 @@
     let status = UpstreamFault::Drain { in_status: true, in_answers: false };
     let answers = UpstreamFault::Drain { in_status: false, in_answers: true };
     for (source, fault) in [("status", Some(status)), ("answers", Some(answers)), ("list", None)] {
-        let system = start_cluster().await;
-        let node = system.nodes[0].address();
+        let cluster = start_cluster().await;
+        let node = cluster.nodes[0].address();
         let (stop, search_task) = spawn_searches(node);
-        let (_, leaving) = &system.upstreams[0];
+        let (_, leaving) = &cluster.upstreams[0];
         match fault {
             Some(fault) => leaving.apply_fault(fault),
-            None => system.platform.set_vms(vec![VmEntry {
+            None => cluster.platform.set_vms(vec![VmEntry {
                 address: leaving.address().to_string().into(),
                 failure_domain: FAILURE_DOMAINS[0].into(),
                 state: VmState::Leaving,
@@ -152,7 +152,7 @@
         let name = leaving.address().to_string();
         wait_until("a node shows the upstream as draining or its VM as leaving", || async {
             let mut known = false;
-            for node in &system.nodes {
+            for node in &cluster.nodes {
                 let replicas = fetch_status(node.address()).await.replicas;
                 let is_it = |one: &ReplicaStatus| one.address == name.as_str();
                 let phase = replicas.into_iter().find(is_it).map(|one| one.phase);
@@ -178,24 +178,24 @@
 // success, and a second SIGTERM must have no effect.
 #[tokio::test(flavor = "multi_thread")]
 async fn graceful_shutdown() {
-    let mut system = start_cluster().await;
+    let mut cluster = start_cluster().await;
     let nodes: Vec<SocketAddr> =
-        system.nodes.iter().map(sassafrasproxy_standin::NodeProcess::address).collect();
+        cluster.nodes.iter().map(sassafrasproxy_standin::NodeProcess::address).collect();
     let others: Vec<_> = nodes[..2].iter().map(|node| spawn_searches(*node)).collect();
     let (stop, search_task) = spawn_searches(nodes[2]);
-    system.nodes[2].terminate().unwrap();
+    cluster.nodes[2].terminate().unwrap();
     wait_until("another node no longer lists the leaving node", || async {
         let list = fetch_addresses(nodes[0]).await.addresses;
         list.iter().all(|entry| entry.address != nodes[2].to_string())
     })
     .await;
-    system.nodes[2].terminate().unwrap();
+    cluster.nodes[2].terminate().unwrap();
     // Callers may keep an address for 200 ms here, so the searches continue for part of that time.
     tokio::time::sleep(Duration::from_millis(50)).await;
     stop.store(true, Ordering::Relaxed);
     let (count, failures) = search_task.await.unwrap();
     assert!(failures.is_empty(), "{} of {count}: {:?}", failures.len(), failures.first());
-    assert!(system.nodes[2].wait_for_exit().unwrap().success());
+    assert!(cluster.nodes[2].wait_for_exit().unwrap().success());
     for node in &nodes[..2] {
         wait_until("its homes have moved", || async {
             let homes = fetch_status(*node).await.homes;
--- a/crates/sassafrasproxy-cli/tests/end_to_end.rs
+++ b/crates/sassafrasproxy-cli/tests/end_to_end.rs
@@ -13,8 +13,8 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn complete_answer() {
-    let system = Cluster::start(3).await;
-    for node in &system.nodes {
+    let cluster = Cluster::start(3).await;
+    for node in &cluster.nodes {
         let answer = search_until_complete(node.address(), &["art-archive", "counter-desk"]).await;
         assert_eq!(answer.outcome, Outcome::Answered);
         assert_eq!(answer.snapshot, 7);
@@ -34,12 +34,12 @@
 // home of its groups. Every answer must state its coverage correctly, and soon be complete again.
 #[tokio::test(flavor = "multi_thread")]
 async fn killed_node() {
-    let mut system = Cluster::start(3).await;
-    for node in &system.nodes {
+    let mut cluster = Cluster::start(3).await;
+    for node in &cluster.nodes {
         search_until_complete(node.address(), &["art-archive", "counter-desk"]).await;
     }
-    system.nodes[2].kill().unwrap();
-    for node in &system.nodes[..2] {
+    cluster.nodes[2].kill().unwrap();
+    for node in &cluster.nodes[..2] {
         let answer = search_until_complete(node.address(), &["art-archive", "counter-desk"]).await;
         assert_eq!(answer.coverage.fraction, 1.0);
     }
@@ -50,29 +50,29 @@
 // one. The ingress node must route around it.
 #[tokio::test(flavor = "multi_thread")]
 async fn paused_node() {
-    let system = Cluster::start(3).await;
-    for node in &system.nodes {
+    let cluster = Cluster::start(3).await;
+    for node in &cluster.nodes {
         search_until_complete(node.address(), &["art-archive", "counter-desk"]).await;
     }
-    system.nodes[1].pause().unwrap();
-    search_until_complete(system.nodes[0].address(), &["art-archive", "counter-desk"]).await;
-    system.nodes[1].resume().unwrap();
-    search_until_complete(system.nodes[1].address(), &["art-archive", "counter-desk"]).await;
+    cluster.nodes[1].pause().unwrap();
+    search_until_complete(cluster.nodes[0].address(), &["art-archive", "counter-desk"]).await;
+    cluster.nodes[1].resume().unwrap();
+    search_until_complete(cluster.nodes[1].address(), &["art-archive", "counter-desk"]).await;
 }
 
 // Guards against upstream slots that stay occupied until the deadline after a caller disconnects
 // while its search runs. The cancellation must reach the upstream.
 #[tokio::test(flavor = "multi_thread")]
 async fn caller_disconnects() {
-    let system = Cluster::start(2).await;
+    let cluster = Cluster::start(2).await;
     let straggle = Some(Stragglers { probability: 1.0, factor: 10_000.0 });
-    for node in &system.nodes {
+    for node in &cluster.nodes {
         search_until_complete(node.address(), &["counter-desk"]).await;
     }
-    system.upstreams.iter().for_each(|(_, upstream)| {
+    cluster.upstreams.iter().for_each(|(_, upstream)| {
         upstream.apply_fault(UpstreamFault::Straggle(straggle));
     });
-    for node in &system.nodes {
+    for node in &cluster.nodes {
         let body = json!({ "services": ["counter-desk"], "kind": "search", "body": {} });
         let node = node.address();
         let mut call = TcpStream::connect(node).await.unwrap();
@@ -83,7 +83,7 @@
             text.len()
         );
         call.write_all((head + &text).as_bytes()).await.unwrap();
-        let running = || system.upstreams.iter().map(|(_, one)| one.running()).sum::<u32>();
+        let running = || cluster.upstreams.iter().map(|(_, one)| one.running()).sum::<u32>();
         while running() == 0 {
             tokio::time::sleep(Duration::from_millis(1)).await;
         }
@@ -94,7 +94,7 @@
             tokio::time::sleep(Duration::from_millis(1)).await;
         }
     }
-    let runs = system.upstreams.iter().flat_map(|(_, upstream)| upstream.runs());
+    let runs = cluster.upstreams.iter().flat_map(|(_, upstream)| upstream.runs());
     let outcomes: Vec<_> = runs
         .map(|run| run.outcome)
         .filter(|outcome| *outcome != Some(RunOutcome::Answered))
@@ -107,10 +107,10 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn metrics() {
     let statsd = UdpSocket::bind("127.0.0.1:0").await.unwrap();
-    let mut system = Cluster::start(0).await;
-    system.statsd = Some(statsd.local_addr().unwrap());
-    system.add_node(0);
-    let node = system.nodes[0].address();
+    let mut cluster = Cluster::start(0).await;
+    cluster.statsd = Some(statsd.local_addr().unwrap());
+    cluster.add_node(0);
+    let node = cluster.nodes[0].address();
     search_until_complete(node, &["art-archive"]).await;
     let unknown = json!({ "services": ["art-archive"], "kind": "fly", "body": {} });
     send_query(node, unknown.to_string(), &[]).await.unwrap_err();
@@ -141,19 +141,19 @@
 // Checks that the faults of the stand-ins can be set over HTTP, as manual tests do.
 #[tokio::test(flavor = "multi_thread")]
 async fn faults_over_http() {
-    let system = Cluster::start(1).await;
-    let node = system.nodes[0].address();
+    let cluster = Cluster::start(1).await;
+    let node = cluster.nodes[0].address();
     search_until_complete(node, &["counter-desk"]).await;
     let client = reqwest::Client::builder().no_proxy().build().unwrap();
     let outage = json!({ "outage": "fail" });
-    let url = format!("{}/standin/faults", system.platform.url());
+    let url = format!("{}/standin/faults", cluster.platform.url());
     let response = client.post(url).json(&outage).send().await.unwrap();
     assert!(response.status().is_success());
     let reorder = json!({ "services": ["counter-desk"], "kind": "reorder", "body": {} });
     let headers = [("x-request-id", "order-1")];
     let (_, refusal) = send_query(node, reorder.to_string(), &headers).await.unwrap_err();
     assert_eq!(refusal.reason, FailureReason::ClaimUnavailable);
-    for (service, upstream) in &system.upstreams {
+    for (service, upstream) in &cluster.upstreams {
         let url = format!("http://{}/standin/fault", upstream.address());
         let fault = json!({ "shed": service == "counter-desk" });
         let response = client.post(url).json(&fault).send().await.unwrap();
@@ -169,8 +169,8 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn invalid_requests() {
-    let system = Cluster::start(1).await;
-    let node = system.nodes[0].address();
+    let cluster = Cluster::start(1).await;
+    let node = cluster.nodes[0].address();
     search_until_complete(node, &["counter-desk"]).await;
     let good = json!({ "services": ["counter-desk"], "kind": "search", "body": {} });
     let with = |field: &str, value: serde_json::Value| {
@@ -221,10 +221,10 @@
 // its first request still runs, and could take one request's answer for the other's.
 #[tokio::test(flavor = "multi_thread")]
 async fn duplicate_request_id() {
-    let system = Cluster::start(1).await;
-    let node = system.nodes[0].address();
+    let cluster = Cluster::start(1).await;
+    let node = cluster.nodes[0].address();
     search_until_complete(node, &["counter-desk"]).await;
-    system.upstreams.iter().for_each(|(_, upstream)| {
+    cluster.upstreams.iter().for_each(|(_, upstream)| {
         let straggle = Stragglers { probability: 1.0, factor: 100.0 };
         upstream.apply_fault(UpstreamFault::Straggle(Some(straggle)));
     });
@@ -232,7 +232,7 @@
     let headers = [("x-request-id", "same"), ("x-deadline-ms", "2000")];
     let first = send_query(node, body.clone(), &headers);
     let second = async {
-        while system.upstreams.iter().all(|(_, upstream)| upstream.running() == 0) {
+        while cluster.upstreams.iter().all(|(_, upstream)| upstream.running() == 0) {
             tokio::time::sleep(Duration::from_millis(1)).await;
         }
         send_query(node, body.clone(), &headers).await
--- a/crates/sassafrasproxy-cli/tests/gateway_datagrams.rs
+++ b/crates/sassafrasproxy-cli/tests/gateway_datagrams.rs
@@ -12,16 +12,16 @@
 /// another version.
 #[tokio::test(flavor = "multi_thread")]
 async fn malformed_datagrams_are_ignored() {
-    let system = Cluster::start(2).await;
+    let cluster = Cluster::start(2).await;
     let socket = UdpSocket::bind("127.0.0.1:0").unwrap();
-    let peer_address = system.gateways[0].peers_address();
+    let peer_address = cluster.gateways[0].peers_address();
     let older_version = br#"{"is_reply":false,"heartbeat":{}}"#.to_vec();
     for bytes in [older_version, vec![1, 255, 255, 255], vec![200; 1_200], vec![1; 9_000]] {
         socket.send_to(&bytes, peer_address).unwrap();
     }
-    system.gateways[0].wait_for_log_line("ignored a datagram that cannot be decoded").unwrap();
+    cluster.gateways[0].wait_for_log_line("ignored a datagram that cannot be decoded").unwrap();
     for _ in 0..5 {
-        assert_eq!(system.ask(0, "/desk/1").await.status, 200);
-        assert_eq!(system.ask(0, "/all/1").await.status, 200);
+        assert_eq!(cluster.ask(0, "/desk/1").await.status, 200);
+        assert_eq!(cluster.ask(0, "/all/1").await.status, 200);
     }
 }
--- a/crates/sassafrasproxy-cli/tests/gateway_shutdown.rs
+++ b/crates/sassafrasproxy-cli/tests/gateway_shutdown.rs
@@ -19,24 +19,24 @@
 /// and exit with success.
 #[tokio::test(flavor = "multi_thread")]
 async fn sigterm_drains_requests() {
-    let mut system = Cluster::start(1).await;
+    let mut cluster = Cluster::start(1).await;
     for id in ["da", "db"] {
-        system.replica(id).set_mode(ReplicaMode::Answering(300));
+        cluster.replica(id).set_mode(ReplicaMode::Answering(300));
     }
-    let address = system.gateways[0].callers_address();
+    let address = cluster.gateways[0].callers_address();
     let attempt = unique_attempt_id();
     let slow = send_get(address, HOST, "/desk/7", &attempt, 2_000);
     let shutdown = async {
         tokio::time::sleep(Duration::from_millis(100)).await;
-        system.gateways[0].signal(Signal::SIGTERM).unwrap();
-        system.gateways[0].wait_for_log_line("the node is leaving").unwrap();
-        assert!(!check_ready(system.gateways[0].ready_address()).await.unwrap());
+        cluster.gateways[0].signal(Signal::SIGTERM).unwrap();
+        cluster.gateways[0].wait_for_log_line("the node is leaving").unwrap();
+        assert!(!check_ready(cluster.gateways[0].ready_address()).await.unwrap());
     };
     let (answer, ()) = tokio::join!(slow, shutdown);
     let answer = answer.unwrap();
     assert_eq!(answer.status, 200);
     assert_eq!(answer.header("connection"), "close");
-    assert!(system.gateways[0].wait_for_exit().unwrap().success());
+    assert!(cluster.gateways[0].wait_for_exit().unwrap().success());
 }
 
 /// Guards against log lines that are lost at exit because they are still buffered.
@@ -44,15 +44,15 @@
 /// The last lines say when a node stopped, which is needed to find the cause of a lost request.
 #[tokio::test(flavor = "multi_thread")]
 async fn last_log_line_is_written() {
-    let mut system = Cluster::start(1).await;
-    let address = system.gateways[0].callers_address();
+    let mut cluster = Cluster::start(1).await;
+    let address = cluster.gateways[0].callers_address();
     let ask_until_gone = async {
         while send_get(address, HOST, "/desk/7", &unique_attempt_id(), 2_000).await.is_ok() {}
     };
-    system.gateways[0].signal(Signal::SIGTERM).unwrap();
+    cluster.gateways[0].signal(Signal::SIGTERM).unwrap();
     ask_until_gone.await;
-    assert!(system.gateways[0].wait_for_exit().unwrap().success());
-    system.gateways[0].wait_for_log_line("the node has ended").unwrap();
+    assert!(cluster.gateways[0].wait_for_exit().unwrap().success());
+    cluster.gateways[0].wait_for_log_line("the node has ended").unwrap();
 }
 
 /// Guards against a request that is never answered because it arrives while a node shuts down.
@@ -62,8 +62,8 @@
 /// replica and before the answer.
 #[tokio::test(flavor = "multi_thread")]
 async fn partly_read_request_is_answered() {
-    let mut system = Cluster::start(1).await;
-    let address = system.gateways[0].callers_address();
+    let mut cluster = Cluster::start(1).await;
+    let address = cluster.gateways[0].callers_address();
     let mut caller = TcpStream::connect(address).await.unwrap();
     let request = format!(
         "GET /desk/7 HTTP/1.1\r\nhost: {HOST}\r\nx-attempt-id: {}\r\nx-deadline-ms: 2000\r\n\r\n",
@@ -73,7 +73,7 @@
     caller.write_all(first).await.unwrap();
     // The answer to a later request shows that the bytes were read.
     send_get(address, HOST, "/desk/7", &unique_attempt_id(), 2_000).await.unwrap();
-    system.gateways[0].signal(Signal::SIGTERM).unwrap();
+    cluster.gateways[0].signal(Signal::SIGTERM).unwrap();
     while TcpStream::connect(address).await.is_ok() {
         tokio::time::sleep(Duration::from_millis(10)).await;
     }
@@ -83,5 +83,5 @@
     caller.read_to_end(&mut answer).await.unwrap();
     let answer = String::from_utf8_lossy(&answer);
     assert!(answer.starts_with("HTTP/1.1 200"), "{answer}");
-    assert!(system.gateways[0].wait_for_exit().unwrap().success());
+    assert!(cluster.gateways[0].wait_for_exit().unwrap().success());
 }
--- a/crates/sassafrasproxy-cli/tests/operator_commands.rs
+++ b/crates/sassafrasproxy-cli/tests/operator_commands.rs
@@ -81,8 +81,8 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn publishing() {
-    let system = Cluster::start(0).await;
-    let url = system.platform.url();
+    let cluster = Cluster::start(0).await;
+    let url = cluster.platform.url();
     let dir = TempDir::new().unwrap();
     write_service_file(dir.path(), "art", 7101);
     let dir_name = dir.path().to_str().unwrap();
@@ -99,7 +99,7 @@
     assert_eq!(done["changes"].as_array().unwrap().len(), 4, "one new, three gone");
     let (code, unchanged) = run_cli_json(&["publish", "--platform", url.as_str(), dir_name]);
     assert_eq!((code, unchanged["outcome"].as_str()), (0, Some("unchanged")));
-    let chunks = system.platform.keys("configuration/chunk/");
+    let chunks = cluster.platform.keys("configuration/chunk/");
     assert_eq!(chunks.len(), 1, "replaced chunks are removed: {chunks:?}");
 
     let (code, domains) = run_cli_json(&["domain", "list", "--platform", url.as_str()]);
@@ -115,24 +115,24 @@
 // operator.
 #[tokio::test(flavor = "multi_thread")]
 async fn platform_unavailable() {
-    let system = Cluster::start(0).await;
-    let url = system.platform.url();
+    let cluster = Cluster::start(0).await;
+    let url = cluster.platform.url();
     let outage = Some(Outage::Fail);
-    system.platform.set_faults(PlatformFaults { outage, ..PlatformFaults::default() });
+    cluster.platform.set_faults(PlatformFaults { outage, ..PlatformFaults::default() });
     let (code, refused) = run_cli_json(&["domain", "out", "galway-1", "--platform", url.as_str()]);
     assert_eq!((code, refused["reason"].as_str()), (1, Some("unavailable")));
     let faults = PlatformFaults { lose_answers: 1, ..PlatformFaults::default() };
-    system.platform.set_faults(faults);
+    cluster.platform.set_faults(faults);
     let (code, done) = run_cli_json(&["domain", "out", "galway-1", "--platform", url.as_str()]);
     assert_eq!((code, done["revision"].as_u64()), (0, Some(2)));
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn inspection_commands() {
-    let system = Cluster::start(2).await;
-    let node = system.nodes[0].address();
+    let cluster = Cluster::start(2).await;
+    let node = cluster.nodes[0].address();
     search_until_complete(node, &["art-archive", "counter-desk"]).await;
-    search_until_complete(system.nodes[1].address(), &["counter-desk"]).await;
+    search_until_complete(cluster.nodes[1].address(), &["counter-desk"]).await;
     let node = node.to_string();
     let (code, status) = run_cli_json(&["status", "--node", &node]);
     assert_eq!((code, status["revision"].as_u64()), (0, Some(1)));
--- a/crates/sassafrasproxy-cli/tests/request_diagnosis.rs
+++ b/crates/sassafrasproxy-cli/tests/request_diagnosis.rs
@@ -15,16 +15,16 @@
 /// shard, a replica and the reason.
 #[tokio::test(flavor = "multi_thread")]
 async fn missing_shard() {
-    let system = Cluster::start(2).await;
+    let cluster = Cluster::start(2).await;
     for id in ["s2a", "s2b"] {
-        system.replica(id).set_mode(ReplicaMode::Failing);
+        cluster.replica(id).set_mode(ReplicaMode::Failing);
     }
     let answer =
-        send_get(system.gateways[1].callers_address(), HOST, "/all/7", "complaint", 2_000).await;
+        send_get(cluster.gateways[1].callers_address(), HOST, "/all/7", "complaint", 2_000).await;
     assert_eq!(answer.unwrap().missing_shard_count(), Some(1));
-    system.gateways[1].wait_for_log_line("shards are left out").unwrap();
+    cluster.gateways[1].wait_for_log_line("shards are left out").unwrap();
     let dir = tempfile::TempDir::new().unwrap();
-    let files = system.gateways.iter().enumerate().map(|(at, gateway)| {
+    let files = cluster.gateways.iter().enumerate().map(|(at, gateway)| {
         let file = dir.path().join(format!("vm-{at}.log"));
         let lines: Vec<String> = gateway.log_lines().iter().map(ToString::to_string).collect();
         std::fs::write(&file, lines.join("\n")).unwrap();
@@ -48,12 +48,12 @@
 /// reason, since the route's name alone does not lead to the service.
 #[tokio::test(flavor = "multi_thread")]
 async fn refused_without_replica() {
-    let system = Cluster::start(1).await;
+    let cluster = Cluster::start(1).await;
     for id in ["da", "db"] {
-        system.store.deregister_replica(id);
+        cluster.store.deregister_replica(id);
     }
-    system.ask_until(0, "/desk/7", |answer| answer.status == 503).await;
-    let line = system.gateways[0].wait_for_log_line("no replica is left to ask").unwrap();
+    cluster.ask_until(0, "/desk/7", |answer| answer.status == 503).await;
+    let line = cluster.gateways[0].wait_for_log_line("no replica is left to ask").unwrap();
     assert_eq!((&line["service"], &line["end"]), (&"desk".into(), &"NoReplica".into()), "{line}");
     assert_eq!((&line["last"], &line["may_have_run"]), (&"".into(), &false.into()), "{line}");
 }
@@ -61,12 +61,12 @@
 /// Checks that the metrics count how requests ended, and for what reason.
 #[tokio::test(flavor = "multi_thread")]
 async fn metrics() {
-    let system = Cluster::start(1).await;
-    system.ask(0, "/all/7").await;
-    system.ask(0, "/nowhere/").await;
+    let cluster = Cluster::start(1).await;
+    cluster.ask(0, "/all/7").await;
+    cluster.ask(0, "/nowhere/").await;
     let request = http::Request::get("/metrics").header("host", "h");
     let request = request.body(http_body_util::Full::default()).unwrap();
-    let answer = send_request(system.gateways[0].metrics_address(), request).await.unwrap();
+    let answer = send_request(cluster.gateways[0].metrics_address(), request).await.unwrap();
     let text = String::from_utf8(answer.body.to_vec()).unwrap();
     for expected in [
         "sassafrasproxy_answers_total{route=\"r-all\",status=\"200\"} 1",
--- a/crates/sassafrasproxy-cli/tests/support/mod.rs
+++ b/crates/sassafrasproxy-cli/tests/support/mod.rs
@@ -61,11 +61,11 @@
         let client = PlatformClient::new(platform.url()).unwrap();
         let change = PublishRequest::ReplaceServices { services, expected_revision: None };
         publish(&client, change, "test".into(), |_| {}).await;
-        let mut system = Self { platform, upstreams, nodes: Vec::new(), statsd: None };
+        let mut cluster = Self { platform, upstreams, nodes: Vec::new(), statsd: None };
         for number in 0..node_count {
-            system.add_node(number);
+            cluster.add_node(number);
         }
-        system
+        cluster
     }
 
     /// Starts one more node.
